--- a/packages/ochreway-direct/src/ochreway_direct/coordination.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordination.py
@@ -9,7 +9,7 @@
 from ochreway_direct.coordinator import Assignment, Coordinator, CoordinatorTuning
 from ochreway_direct.coordinator.enginerecord import EngineRecord
 from ochreway_direct.coordinator.grouprecord import GroupPhase, PhaseCause
-from ochreway_direct.coordinator.probing import URGENT
+from ochreway_direct.coordinator.probing import URGENT_CAUSES
 from ochreway_direct.lastmodels import LastModels
 from ochreway_direct.lists.listedtarget import ListedTarget
 from ochreway_direct.noticewatch import NoticeWatch
@@ -99,7 +99,7 @@
             self._spawn(self._order(assignment))
         for probe in self.coordinator.due_probes(now_s):
             self._metrics.count(f"probe.{probe.cause.value}")
-            self._spawn(self._probe(probe.record, probe.cause in URGENT))
+            self._spawn(self._probe(probe.record, probe.cause in URGENT_CAUSES))
         if now_s >= self._summary_due_s:
             self._summary_due_s = now_s + SUMMARY_EVERY_S
             self._note_domains()
@@ -108,7 +108,7 @@
 
     def _note_domains(self) -> None:
         for each in self.coordinator.summaries():
-            able = ",".join(f"{model}:{number}" for model, number in sorted(each.able.items()))
+            able = ",".join(f"{model}:{number}" for model, number in sorted(each.joinable.items()))
             self._log.detail(
                 "domain",
                 domain=each.domain,
@@ -123,7 +123,7 @@
     def _note_plans(self, now_s: float) -> None:
         for service, plan in self.coordinator.plans.items():
             if self._plan_log.due(service, now_s):
-                self._plan_log.step(service, plan, self.coordinator.loading(service), now_s)
+                self._plan_log.step(service, plan, self.coordinator.count_loading(service), now_s)
 
     def lost(self, now_s: float) -> tuple[GroupId, ...]:
         """Return the groups whose requests have to be abandoned."""
@@ -162,7 +162,7 @@
         try:
             outcome = await self._give(assignment)
         finally:
-            self.coordinator.on_outcome(
+            self.coordinator.on_order_outcome(
                 assignment.instance,
                 assignment.order,
                 outcome,
@@ -248,7 +248,7 @@
             if not refused and stalled_s > STALL_SHARE * timeout_s:
                 # The answer may have come while this process itself stood still.
                 self._metrics.count("probe.own_stall")
-                self.coordinator.on_unsettled(instance)
+                self.coordinator.on_probe_inconclusive(instance)
                 return
             self._lost(record, fault, refused)
             return
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/arrangement.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/arrangement.py
@@ -9,14 +9,14 @@
 
 from ochreway_core.ids import DomainId
 from ochreway_direct.configuration import ModelSpec
-from ochreway_direct.coordinator.placement import Slot
-from ochreway_direct.coordinator.room import Room
+from ochreway_direct.coordinator.capacity import Capacity
+from ochreway_direct.coordinator.placement import GroupSlot
 from ochreway_direct.ids import ModelName
 
-TRIES_AT_MOST = 4000
+MAX_TRIES = 4000
 """How many ways to fill a domain are tried in one search; some 5 us each."""
 
-Numbers = tuple[int, ...]
+GroupCounts = tuple[int, ...]
 """A number of groups for each model, in the order of the models."""
 
 
@@ -25,89 +25,97 @@
     """Go through the domains, the roomiest first, and turn back where the rest does not fit."""
 
     models: Sequence[ModelSpec]
-    rooms: Mapping[DomainId, Room]
-    at_least: Mapping[Slot, int]
-    at_most: Mapping[ModelName, int]
-    tries_left: int = TRIES_AT_MOST
-    order: list[DomainId] = field(default_factory=list)
-    failed: set[tuple[int, Numbers]] = field(default_factory=set)
-    found: list[Numbers] = field(default_factory=list)
+    capacities: Mapping[DomainId, Capacity]
+    min_groups: Mapping[GroupSlot, int]
+    max_groups: Mapping[ModelName, int]
+    tries_left: int = MAX_TRIES
+    domain_order: list[DomainId] = field(default_factory=list)
+    dead_ends: set[tuple[int, GroupCounts]] = field(default_factory=set)
+    placed: list[GroupCounts] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.order = sorted(self.rooms, key=lambda domain: (-self.rooms[domain].total, domain))
+        self.domain_order = sorted(
+            self.capacities, key=lambda domain: (-self.capacities[domain].total, domain)
+        )
 
-    def run(self, totals: Numbers) -> bool:
+    def run(self, totals: GroupCounts) -> bool:
         """Place so many groups of each model; return whether all of them found room."""
-        lefts = [totals]
-        ways = [self._ways(totals)]
-        while ways:
-            if self._done(lefts[-1]):
+        remaining = [totals]
+        options = [self._options(totals)]
+        while options:
+            if self._is_complete(remaining[-1]):
                 return True
-            numbers = next(ways[-1], None)
+            numbers = next(options[-1], None)
             if numbers is None:
-                self._turn_back(lefts, ways)
+                self._backtrack(remaining, options)
                 continue
-            left = tuple(a - b for a, b in zip(lefts[-1], numbers, strict=True))
-            self.found.append(numbers)
-            lefts.append(left)
-            ways.append(self._ways(left))
+            left = tuple(a - b for a, b in zip(remaining[-1], numbers, strict=True))
+            self.placed.append(numbers)
+            remaining.append(left)
+            options.append(self._options(left))
         return False
 
-    def _done(self, left: Numbers) -> bool:
-        return len(self.found) == len(self.order) and not any(left)
+    def _is_complete(self, left: GroupCounts) -> bool:
+        return len(self.placed) == len(self.domain_order) and not any(left)
 
-    def _turn_back(self, lefts: list[Numbers], ways: list[Iterator[Numbers]]) -> None:
-        self.failed.add((len(self.found), lefts.pop()))
-        ways.pop()
-        if self.found:
-            self.found.pop()
+    def _backtrack(
+        self, remaining: list[GroupCounts], options: list[Iterator[GroupCounts]]
+    ) -> None:
+        self.dead_ends.add((len(self.placed), remaining.pop()))
+        options.pop()
+        if self.placed:
+            self.placed.pop()
 
-    def _may_fit(self, at: int, left: Numbers) -> bool:
+    def _may_fit(self, at: int, left: GroupCounts) -> bool:
         """Tell whether the domains from one on have engines enough, whatever their abilities."""
-        asked = sum(m.size * number for m, number in zip(self.models, left, strict=True))
-        return asked <= sum(self.rooms[domain].total for domain in self.order[at:])
+        demanded = sum(m.size * number for m, number in zip(self.models, left, strict=True))
+        return demanded <= sum(self.capacities[domain].total for domain in self.domain_order[at:])
 
-    def _ways(self, left: Numbers) -> Iterator[Numbers]:
+    def _options(self, left: GroupCounts) -> Iterator[GroupCounts]:
         """Yield the groups that the next domain can have, the most even numbers first."""
-        at = len(self.found)
-        if at == len(self.order) or (at, left) in self.failed or not self._may_fit(at, left):
+        at = len(self.placed)
+        if (
+            at == len(self.domain_order)
+            or (at, left) in self.dead_ends
+            or not self._may_fit(at, left)
+        ):
             return
-        domain = self.order[at]
-        even = [math.ceil(number / (len(self.order) - at)) for number in left]
+        domain = self.domain_order[at]
+        even = [math.ceil(number / (len(self.domain_order) - at)) for number in left]
         ranges = [
-            range(self._least(domain, model), self._most(domain, model, number) + 1)
+            range(self._lower_bound(domain, model), self._upper_bound(domain, model, number) + 1)
             for model, number in zip(self.models, left, strict=True)
         ]
 
-        def unevenness(numbers: Numbers) -> int:
+        def unevenness(numbers: GroupCounts) -> int:
             return sum(abs(a - b) for a, b in zip(numbers, even, strict=True))
 
         for numbers in sorted(product(*ranges), key=unevenness):
             if self.tries_left <= 0:
                 return
             self.tries_left -= 1
-            if self._holds(domain, numbers):
+            if self._fits(domain, numbers):
                 yield numbers
 
-    def _least(self, domain: DomainId, model: ModelSpec) -> int:
-        return self.at_least.get(Slot(domain, model.name), 0)
+    def _lower_bound(self, domain: DomainId, model: ModelSpec) -> int:
+        return self.min_groups.get(GroupSlot(domain, model.name), 0)
 
-    def _most(self, domain: DomainId, model: ModelSpec, left: int) -> int:
-        bound = max(self.at_most[model.name], self._least(domain, model))
-        return min(left, bound, self.rooms[domain].total // model.size)
+    def _upper_bound(self, domain: DomainId, model: ModelSpec, left: int) -> int:
+        bound = max(self.max_groups[model.name], self._lower_bound(domain, model))
+        return min(left, bound, self.capacities[domain].total // model.size)
 
-    def _holds(self, domain: DomainId, numbers: Numbers) -> bool:
+    def _fits(self, domain: DomainId, numbers: GroupCounts) -> bool:
         members = {m.name: m.size * n for m, n in zip(self.models, numbers, strict=True)}
-        return self.rooms[domain].holds(members)
+        return self.capacities[domain].fits(members)
 
 
 def arrange(
     models: Sequence[ModelSpec],
     totals: Mapping[ModelName, int],
-    rooms: Mapping[DomainId, Room],
-    at_least: Mapping[Slot, int],
-    at_most: Mapping[ModelName, int],
-) -> Counter[Slot] | None:
+    capacities: Mapping[DomainId, Capacity],
+    min_groups: Mapping[GroupSlot, int],
+    max_groups: Mapping[ModelName, int],
+) -> Counter[GroupSlot] | None:
     """Return places for so many groups of each model, or None where the search found none.
 
     Args:
@@ -117,13 +125,13 @@
         at_least: the groups that a place has to have.
         at_most: the groups of a model that a domain may have, unless it has to have more.
     """
-    search = _Search(models, rooms, at_least, at_most)
+    search = _Search(models, capacities, min_groups, max_groups)
     if not search.run(tuple(totals.get(model.name, 0) for model in models)):
         return None
     return Counter(
         {
-            Slot(domain, model.name): number
-            for domain, numbers in zip(search.order, search.found, strict=True)
+            GroupSlot(domain, model.name): number
+            for domain, numbers in zip(search.domain_order, search.placed, strict=True)
             for model, number in zip(models, numbers, strict=True)
             if number
         }
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/candidates.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/candidates.py
@@ -11,7 +11,7 @@
 from ochreway_direct.configuration import ModelSpec
 from ochreway_direct.coordinator.enginerecord import EngineRecord
 
-WORTH_DIGITS = 3
+UTILITY_DIGITS = 3
 """How finely loads are told apart by their worth; of like ones the engine that loses least goes."""
 
 
@@ -20,11 +20,11 @@
 
     EMPTY = 0
     """It is free and can serve nothing."""
-    KEEPING = 1
+    KEEPS_LAST_MODEL = 1
     """It is free, and can serve its last model whatever is loaded."""
     SURPLUS = 2
     """Its group is one too many."""
-    STOCKED = 3
+    HAS_STAGED = 3
     """It is free, and other weights would push out those that it has."""
     SERVING = 4
 
@@ -36,12 +36,12 @@
     record: EngineRecord
     model: ModelSpec
     use: Use
-    worth: float
+    utility: float
 
     @property
     def rank(self) -> tuple[float, Use]:
         """Return a key that is the least for the load to begin first."""
-        return -round(self.worth, WORTH_DIGITS), self.use
+        return -round(self.utility, UTILITY_DIGITS), self.use
 
 
 class Candidates:
@@ -55,31 +55,31 @@
     def __init__(
         self,
         records: Iterable[EngineRecord],
-        alike: Callable[[EngineRecord], Hashable],
+        kind_of: Callable[[EngineRecord], Hashable],
         best: Callable[[Iterable[EngineRecord]], Load | None],
     ) -> None:
         """Start with engines; ``best`` returns the best load among some of one domain."""
         self._best = best
         self._kinds: dict[DomainId, dict[Hashable, list[EngineRecord]]] = defaultdict(dict)
         for record in records:
-            self._kinds[record.domain].setdefault(alike(record), []).append(record)
+            self._kinds[record.domain].setdefault(kind_of(record), []).append(record)
         self._queue: list[tuple[tuple[float, Use], DomainId]] = []
         self._loads: dict[DomainId, Load] = {}
         for domain in self._kinds:
-            self._look_at(domain)
+            self._refresh(domain)
         heapify(self._queue)
 
-    def _look_at(self, domain: DomainId) -> None:
+    def _refresh(self, domain: DomainId) -> None:
         load = self._best(records[0] for records in self._kinds[domain].values())
         if load is not None:
             self._loads[domain] = load
             heappush(self._queue, (load.rank, domain))
 
-    def first(self) -> Load | None:
+    def peek(self) -> Load | None:
         """Return the best load, which stays the first until it was begun."""
         return self._loads[self._queue[0][1]] if self._queue else None
 
-    def begun(self, load: Load) -> None:
+    def mark_begun(self, load: Load) -> None:
         """Take the first load out, and look at its domain again."""
         heappop(self._queue)
         domain = load.record.domain
@@ -90,7 +90,7 @@
                 if not records:
                     del kinds[kind]
                 break
-        self._look_at(domain)
+        self._refresh(domain)
 
 
 __all__ = ["Candidates", "Load", "Use"]
--- /dev/null
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/capacities.py
@@ -0,0 +1,54 @@
+# SPDX-License-Identifier: Apache-2.0
+"""Counting the engines of each domain by the models whose groups they can join."""
+
+from collections import Counter, defaultdict
+from collections.abc import Mapping
+
+from ochreway_core.ids import DomainId
+from ochreway_direct.configuration import EngineSpec
+from ochreway_direct.coordinator.capacity import Ability, Capacity
+from ochreway_direct.coordinator.census import Census
+from ochreway_direct.coordinator.enginerecord import EngineRecord
+from ochreway_direct.coordinator.state import CURRENT_PHASES, CoordinatorState
+
+
+def current_capacities(
+    state: CoordinatorState, spec: EngineSpec, census: Census
+) -> dict[DomainId, Capacity]:
+    """Count engines that are in groups, free, or about to be, by the weights that they have.
+
+    Where no engine of a domain has any weights, all can join any model by loading them.
+    """
+    counts_by_domain: dict[DomainId, Counter[Ability]] = defaultdict(Counter)
+    for domain in {group.domain for group in census.groups} | census.free.keys():
+        cold = domain not in census.warm_domains
+        for record in [*census.free[domain], *census.survivors[domain]]:
+            counts_by_domain[domain][
+                _all_models(spec) if cold else _joinable_models(spec, record)
+            ] += 1
+    for group in census.groups:
+        if group.phase in CURRENT_PHASES:
+            for instance in group.members:
+                record = state.engines[instance]
+                counts_by_domain[record.domain][_joinable_models(spec, record) | {group.model}] += 1
+    return {domain: Capacity(counts) for domain, counts in counts_by_domain.items()}
+
+
+def capacities_after_loading(
+    spec: EngineSpec, capacities: Mapping[DomainId, Capacity]
+) -> dict[DomainId, Capacity]:
+    """Return the same rooms as if every engine had the weights that are asked of it."""
+    return {
+        domain: Capacity({_all_models(spec): room.total}) for domain, room in capacities.items()
+    }
+
+
+def _joinable_models(spec: EngineSpec, record: EngineRecord) -> Ability:
+    return frozenset(model.name for model in spec.models if record.can_join(model.name))
+
+
+def _all_models(spec: EngineSpec) -> Ability:
+    return frozenset(model.name for model in spec.models)
+
+
+__all__ = ["capacities_after_loading", "current_capacities"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/room.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/capacity.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class Capacity:
     """Count the engines of a domain by their abilities."""
 
     engines: Mapping[Ability, int] = field(default_factory=dict)
@@ -22,7 +22,7 @@
         """Return the number of engines."""
         return sum(self.engines.values())
 
-    def holds(self, members: Mapping[ModelName, int]) -> bool:
+    def fits(self, members: Mapping[ModelName, int]) -> bool:
         """Tell whether there are engines for so many members of each model at once.
 
         That is so when each set of models has as many engines that can join any of them as it
@@ -30,19 +30,19 @@
         """
         if sum(members.values()) > self.total:
             return False
-        asked = [model for model, number in members.items() if number > 0]
+        models_needed = [model for model, number in members.items() if number > 0]
         if len(self.engines) == 1:
-            return next(iter(self.engines)).issuperset(asked)
+            return next(iter(self.engines)).issuperset(models_needed)
         subsets = chain.from_iterable(
-            combinations(asked, size) for size in range(1, len(asked) + 1)
+            combinations(models_needed, size) for size in range(1, len(models_needed) + 1)
         )
         return all(
-            self._able(frozenset(subset)) >= sum(members[model] for model in subset)
+            self._count_joinable(frozenset(subset)) >= sum(members[model] for model in subset)
             for subset in subsets
         )
 
-    def _able(self, models: Ability) -> int:
+    def _count_joinable(self, models: Ability) -> int:
         return sum(number for ability, number in self.engines.items() if ability & models)
 
 
-__all__ = ["Ability", "Room"]
+__all__ = ["Ability", "Capacity"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/census.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/census.py
@@ -7,13 +7,13 @@
 from ochreway_core.ids import DomainId, InstanceId
 from ochreway_direct.coordinator.enginerecord import EngineRecord
 from ochreway_direct.coordinator.grouprecord import GroupPhase, GroupRecord
-from ochreway_direct.coordinator.placement import Slot
-from ochreway_direct.coordinator.state import STANDING, CoordinatorState
+from ochreway_direct.coordinator.placement import GroupSlot
+from ochreway_direct.coordinator.state import CURRENT_PHASES, CoordinatorState
 from ochreway_direct.ids import ServiceName
 
-RELEASING = frozenset({GroupPhase.CLOSING, GroupPhase.DISSOLVING})
+RELEASING_PHASES = frozenset({GroupPhase.CLOSING, GroupPhase.DISSOLVING})
 
-Engines = defaultdict[DomainId, list[EngineRecord]]
+EnginesByDomain = defaultdict[DomainId, list[EngineRecord]]
 """Engines by their domain."""
 
 
@@ -27,43 +27,43 @@
     groups that form or serve at each place.
     """
 
-    free: Engines
-    survivors: Engines
-    warm: frozenset[DomainId]
+    free: EnginesByDomain
+    survivors: EnginesByDomain
+    warm_domains: frozenset[DomainId]
     groups: tuple[GroupRecord, ...]
-    standing: Counter[Slot]
+    current: Counter[GroupSlot]
 
 
 def take_census(state: CoordinatorState, service: ServiceName) -> Census:
     """Count the engines and groups of a service."""
-    held = state.held()
-    groups = tuple(state.of_service(service))
-    free: Engines = defaultdict(list)
-    warm = set()
+    unreleased = state.unreleased_members()
+    groups = tuple(state.groups_of(service))
+    free: EnginesByDomain = defaultdict(list)
+    warm_domains = set()
     for record in state.engines.values():
-        if record.service != service or record.instance in held or state.drains(record):
+        if record.service != service or record.instance in unreleased or state.is_drained(record):
             continue
         if record.state.staged or record.staging or record.last_model:
-            warm.add(record.domain)
-        if record.usable and record.membership is None and not record.ordered_group:
+            warm_domains.add(record.domain)
+        if record.usable and record.membership is None and not record.group_order_pending:
             free[record.domain].append(record)
-    standing = Counter(Slot(g.domain, g.model) for g in groups if g.phase in STANDING)
-    return Census(free, _survivors(state, groups), frozenset(warm), groups, standing)
+    current = Counter(GroupSlot(g.domain, g.model) for g in groups if g.phase in CURRENT_PHASES)
+    return Census(free, _survivors(state, groups), frozenset(warm_domains), groups, current)
 
 
-def _survivors(state: CoordinatorState, groups: tuple[GroupRecord, ...]) -> Engines:
-    found: Engines = defaultdict(list)
+def _survivors(state: CoordinatorState, groups: tuple[GroupRecord, ...]) -> EnginesByDomain:
+    releasable: EnginesByDomain = defaultdict(list)
     for group in groups:
-        if group.phase not in RELEASING:
+        if group.phase not in RELEASING_PHASES:
             continue
         for instance in group.members:
-            record = _member(state, group, instance)
+            record = _usable_member(state, group, instance)
             if record is not None:
-                found[record.domain].append(record)
-    return found
+                releasable[record.domain].append(record)
+    return releasable
 
 
-def _member(
+def _usable_member(
     state: CoordinatorState, group: GroupRecord, instance: InstanceId
 ) -> EngineRecord | None:
     """Return a member that is still to be released and can serve on elsewhere."""
@@ -73,4 +73,4 @@
     return record
 
 
-__all__ = ["Census", "Engines", "take_census"]
+__all__ = ["Census", "EnginesByDomain", "take_census"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/coordinator.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/coordinator.py
@@ -15,7 +15,7 @@
 from ochreway_direct.coordinator.probing import Probe, Probing
 from ochreway_direct.coordinator.staging import Staging
 from ochreway_direct.coordinator.state import CoordinatorState
-from ochreway_direct.coordinator.summary import DomainSummary, summaries
+from ochreway_direct.coordinator.summary import DomainSummary, summarize_domains
 from ochreway_direct.coordinator.tuning import CoordinatorTuning
 from ochreway_direct.enginestate import EngineState
 from ochreway_direct.fleets.groupview import GroupView
@@ -26,18 +26,18 @@
 from ochreway_direct.order import Join, Order, OrderOutcome, Stage
 from ochreway_direct.platformhealth import NEVER_S
 
-PLAN_AGAIN_S = 0.2
+REPLAN_INTERVAL_S = 0.2
 """How soon a plan is looked at again though nothing is known to have changed."""
-PLAN_LEAST_GAP_S = 0.02
+MIN_REPLAN_INTERVAL_S = 0.02
 """The least time between two looks: answers of engines come in by the dozen."""
-SUSPECTED_AGAIN_S = 0.3
+MIN_SUSPICION_INTERVAL_S = 0.3
 """How soon a group may be suspected again: many entries notice the same silence."""
-ASK_ALL_AGAIN_S = 0.3
+MIN_PROBE_ALL_INTERVAL_S = 0.3
 """How soon all engines may be asked again while none answers: a little longer than they have."""
 PACE_DIGITS = 1
 """How finely entries are told a group's pace: each difference is news to all of them."""
-TAKEN = frozenset({OrderOutcome.HOLDS, OrderOutcome.BEGUN})
-UNSETTLED = frozenset(
+ACCEPTED_OUTCOMES = frozenset({OrderOutcome.HOLDS, OrderOutcome.BEGUN})
+INCONCLUSIVE_OUTCOMES = frozenset(
     {
         OrderOutcome.UNKNOWN,
         OrderOutcome.CONFLICT,
@@ -58,7 +58,7 @@
     def __init__(
         self,
         tuning: CoordinatorTuning | None = None,
-        heard: Callable[[GroupId], bool] = lambda _: False,
+        is_answering: Callable[[GroupId], bool] = lambda _: False,
     ) -> None:
         """Start without engines; ``heard`` tells whether entries have answers from a group."""
         self.tuning = tuning or CoordinatorTuning()
@@ -66,18 +66,18 @@
         self._lifecycle = GroupLifecycle(self._state)
         self._formation = Formation(self._state)
         self._staging = Staging(self._state)
-        self._probing = Probing(self._state, heard)
+        self._probing = Probing(self._state, is_answering)
         self._listing = Listing()
         self._last_models = LastModels()
         self._began_s = 0.0
-        self._grown_s = NEVER_S
+        self._list_grown_s = NEVER_S
         self._changed = True
-        self._planned_s = NEVER_S
+        self._last_planned_s = NEVER_S
         self._phases: dict[GroupId, GroupPhase] = {}
-        self._asked_all_s = NEVER_S
+        self._probed_all_s = NEVER_S
         self.fenced_orders = 0
         self._started = False
-        self._asked_again = False
+        self._probed_for_loads = False
 
     @property
     def engines(self) -> dict[InstanceId, EngineRecord]:
@@ -108,7 +108,7 @@
         self._began_s = now_s
         self._changed = True
         self._started = False
-        self._state.loads_seen = self._asked_again = False
+        self._state.inherited_loads_seen = self._probed_for_loads = False
         self.groups.clear()
         self.engines.clear()
         self._listing = Listing()
@@ -122,19 +122,19 @@
             if service.engine is not None
         }
         for name, spec in self._state.specs.items():
-            if name not in self._state.limits:
-                self._state.limits[name] = LoadLimit(
+            if name not in self._state.load_limits:
+                self._state.load_limits[name] = LoadLimit(
                     self.tuning.loads_at_most(spec.loads_per_s),
                     self.tuning.loads_window_s + self.tuning.loads_slack_s,
                 )
 
-    def drain(self, halls: frozenset[HallId]) -> None:
+    def set_drained_halls(self, halls: frozenset[HallId]) -> None:
         """Plan without some halls from now on, and with others that were given back.
 
         Engines of these are asked at once, as they were asked rarely meanwhile.
         """
-        restored = self._state.draining - halls
-        self._state.draining = halls
+        restored = self._state.drained_halls - halls
+        self._state.drained_halls = halls
         self._changed = True
         for record in self.engines.values():
             if record.listed.hall in restored:
@@ -149,19 +149,19 @@
         may come back.
         """
         engines = {each.instance: each for each in targets if each.engine is not None}
-        gone = self._listing.read(engines, now_s, regained_s)
+        unlisted = self._listing.read(engines, now_s, regained_s)
         self._changed = True
         if engines.keys() - self.engines.keys():
-            self._grown_s = now_s
+            self._list_grown_s = now_s
         for instance, listed in engines.items():
-            self._list(instance, listed, now_s)
+            self._update_listed(instance, listed, now_s)
         for instance, record in list(self.engines.items()):
-            if instance in gone and record.missing_s is None:
-                record.missing_s = now_s
+            if instance in unlisted and record.unlisted_since_s is None:
+                record.unlisted_since_s = now_s
                 if not record.dead:
                     self._count_loss(record, now_s)
 
-    def _list(self, instance: InstanceId, listed: ListedTarget, now_s: float) -> None:
+    def _update_listed(self, instance: InstanceId, listed: ListedTarget, now_s: float) -> None:
         record = self.engines.get(instance)
         if record is None:
             assert listed.engine is not None
@@ -173,15 +173,15 @@
             )
             return
         if listed.engine != record.listed.engine:
-            record.news_due_s = now_s + self._lifecycle.report_lag_s(record.service)
-        record.list(listed, now_s)
+            record.listed_change_due_s = now_s + self._lifecycle.report_lag_s(record.service)
+        record.update_listing(listed, now_s)
 
     def on_state(self, instance: InstanceId, state: EngineState, now_s: float) -> None:
         """Take an engine's own report."""
         record = self.engines.get(instance)
         if record is None:
             return
-        record.probing = False
+        record.probe_pending = False
         if record.displaced:
             return
         record.answered_s = now_s
@@ -202,22 +202,22 @@
         record = self.engines.get(instance)
         if record is None:
             return
-        record.probing = False
+        record.probe_pending = False
         if not record.misses:
             record.missed_since_s = record.probed_s
         record.misses += 1
-        allowed = 1 if record.suspected else self.tuning.misses_until_dead
-        if not refused and record.misses < allowed:
+        misses_allowed = 1 if record.suspected else self.tuning.misses_until_dead
+        if not refused and record.misses < misses_allowed:
             return
-        if not refused and self._nobody_answers(record):
-            self._ask_all(now_s)
+        if not refused and self._no_other_answered(record):
+            self._probe_all(now_s)
             return
         if not record.dead:
             self._changed = True
             self._count_loss(record, now_s)
         record.dead = True
 
-    def _nobody_answers(self, silent: EngineRecord) -> bool:
+    def _no_other_answered(self, silent: EngineRecord) -> bool:
         """Tell whether no other engine answered what it was asked since one fell silent.
 
         It may be this process, its network or all engines that stand still then, not that one.
@@ -229,34 +229,34 @@
         ]
         return bool(others) and all(each.answered_s < silent.missed_since_s for each in others)
 
-    def _ask_all(self, now_s: float) -> None:
+    def _probe_all(self, now_s: float) -> None:
         """Ask each engine at once, so that it shows soon whose silence it is."""
-        if now_s - self._asked_all_s < ASK_ALL_AGAIN_S:
+        if now_s - self._probed_all_s < MIN_PROBE_ALL_INTERVAL_S:
             return
-        self._asked_all_s = now_s
+        self._probed_all_s = now_s
         for record in self.engines.values():
             record.probed_s = NEVER_S
 
     def _count_loss(self, record: EngineRecord, now_s: float) -> None:
         """Count a loss to be expected again; engines of a drained hall may be switched off."""
-        if not self._state.drains(record):
-            self._state.losses.lost(now_s)
+        if not self._state.is_drained(record):
+            self._state.loss_meter.record_loss(now_s)
 
-    def on_unsettled(self, instance: InstanceId) -> None:
+    def on_probe_inconclusive(self, instance: InstanceId) -> None:
         """Note that nothing was learned from a probe; the engine is asked again."""
         record = self.engines.get(instance)
         if record is not None:
-            record.probing = False
+            record.probe_pending = False
 
     def on_backed_off(self, instance: InstanceId) -> None:
         """Note that an engine asked to be left alone, so that no group is begun with it."""
         record = self.engines.get(instance)
         if record is not None:
-            record.probing = False
+            record.probe_pending = False
             record.answered_s = record.probed_s
             record.backed_off = True
 
-    def on_outcome(
+    def on_order_outcome(
         self, instance: InstanceId, order: Order, outcome: OrderOutcome, now_s: float
     ) -> None:
         """Note what became of an order; the next report tells the rest."""
@@ -264,21 +264,21 @@
         if record is None:
             return
         self._changed = True
-        record.pending = None
-        record.taken = outcome in TAKEN
-        if record.taken:
-            self._lifecycle.on_taken(record, order, now_s)
+        record.pending_order = None
+        record.order_accepted = outcome in ACCEPTED_OUTCOMES
+        if record.order_accepted:
+            self._lifecycle.on_order_accepted(record, order, now_s)
         if outcome is OrderOutcome.OTHER_INSTANCE and not record.dead:
             self._count_loss(record, now_s)
-            record.displace()
-        if outcome not in UNSETTLED:
+            record.mark_displaced()
+        if outcome not in INCONCLUSIVE_OUTCOMES:
             record.probed_s = 0.0
         if isinstance(order, Join) and outcome is OrderOutcome.FENCED:
-            self._on_fenced(order)
+            self._on_join_fenced(order)
         if isinstance(order, Stage) and outcome is not OrderOutcome.BEGUN:
             record.staging = None
 
-    def _on_fenced(self, join: Join) -> None:
+    def _on_join_fenced(self, join: Join) -> None:
         """Give up a group that a member refuses for its epoch; asking again would not help.
 
         Its engines are free for a group with a newer epoch, if this process still holds the
@@ -291,11 +291,14 @@
 
     def suspect(self, group: GroupId, now_s: float) -> None:
         """Ask a group's members for their state at once."""
-        found = self.groups.get(group)
-        if found is None or now_s - found.suspected_s < SUSPECTED_AGAIN_S:
+        suspected_group = self.groups.get(group)
+        if (
+            suspected_group is None
+            or now_s - suspected_group.last_suspected_s < MIN_SUSPICION_INTERVAL_S
+        ):
             return
-        found.suspected_s = now_s
-        for instance in found.members:
+        suspected_group.last_suspected_s = now_s
+        for instance in suspected_group.members:
             record = self.engines.get(instance)
             if record is not None and not record.dead:
                 record.suspected = True
@@ -305,7 +308,7 @@
         """Forget silences, as this process itself stood still."""
         for record in self.engines.values():
             record.misses = 0
-            record.probing = False
+            record.probe_pending = False
 
     # What is asked for.
 
@@ -315,7 +318,7 @@
 
     def views(self) -> tuple[GroupView, ...]:
         """Return the groups that take requests."""
-        found = []
+        group_views = []
         for group in self.groups.values():
             leader = self.engines.get(group.leader)
             if group.phase is not GroupPhase.SERVING or leader is None:
@@ -324,7 +327,7 @@
             if group.domain == SPANNING:
                 pace *= self._state.specs[group.service].far_factor
             listed = leader.listed
-            found.append(
+            group_views.append(
                 GroupView(
                     group.group,
                     group.epoch,
@@ -338,64 +341,64 @@
                     leader.state.born_ms,
                 )
             )
-        return tuple(found)
+        return tuple(group_views)
 
     def _halls(self, group: GroupRecord) -> tuple[HallId, ...]:
         return tuple(sorted({self.engines[each].listed.hall for each in group.members}))
 
     def summaries(self) -> tuple[DomainSummary, ...]:
         """Return what the engines of each domain are doing."""
-        return summaries(self.engines.values(), frozenset(self._state.held()))
+        return summarize_domains(self.engines.values(), frozenset(self._state.unreleased_members()))
 
     @property
     def plans(self) -> Mapping[ServiceName, PlanSummary]:
         """Return the newest plan of each service."""
         return self._formation.plans
 
-    def loading(self, service: ServiceName) -> int:
+    def count_loading(self, service: ServiceName) -> int:
         """Return how many engines of a service are getting weights."""
-        return self._state.loading(service)
+        return self._state.count_loading(service)
 
     def tick(self, now_s: float) -> list[Assignment]:
         """Return the orders to give now."""
-        self._state.out = []
-        self._forget()
-        self._begin_loads(now_s)
+        self._state.assignments = []
+        self._remove_departed()
+        self._finish_startup(now_s)
         if not self._started:
             return []
         if self.demand.measured:
-            self._state.losses.step(len(self.engines), now_s)
-        self._see_loads(now_s)
-        if not self._all_silent():
-            self._lifecycle.step(now_s)
+            self._state.loss_meter.advance(len(self.engines), now_s)
+        self._check_inherited_loads(now_s)
+        if not self._most_silent():
+            self._lifecycle.advance(now_s)
             if self._plan_due(now_s):
-                self._planned_s = now_s
+                self._last_planned_s = now_s
                 self._plan(now_s)
-        return self._state.out
+        return self._state.assignments
 
     def _plan(self, now_s: float) -> None:
         self._changed = False
         for service, spec in self._state.specs.items():
-            outlook = self._formation.step(service, spec, now_s)
-            self._staging.step(service, spec, outlook, now_s)
+            outlook = self._formation.form_groups(service, spec, now_s)
+            self._staging.order_loads(service, spec, outlook, now_s)
 
-    def _see_loads(self, now_s: float) -> None:
+    def _check_inherited_loads(self, now_s: float) -> None:
         """Find out whether the loads that the holder before this one began have been seen.
 
         Reports lag, so those of its last moment are shown only by what is asked a while later.
         """
-        if self._state.loads_seen:
+        if self._state.inherited_loads_seen:
             return
         lag_s = max(spec.report_lag_s for spec in self._state.specs.values())
-        seen_from_s = self._began_s + lag_s
-        if now_s < seen_from_s:
+        reports_from_s = self._began_s + lag_s
+        if now_s < reports_from_s:
             return
-        if not self._asked_again:
-            self._asked_again = True
+        if not self._probed_for_loads:
+            self._probed_for_loads = True
             for record in self.engines.values():
                 record.probed_s = NEVER_S
-        self._state.loads_seen = now_s - self._began_s >= self.tuning.settle_s or all(
-            record.dead or record.misses or record.observed_s >= seen_from_s
+        self._state.inherited_loads_seen = now_s - self._began_s >= self.tuning.settle_s or all(
+            record.dead or record.misses or record.observed_s >= reports_from_s
             for record in self.engines.values()
         )
 
@@ -409,10 +412,10 @@
         if phases != self._phases:
             self._phases = phases
             self._changed = True
-        rested_s = now_s - self._planned_s
-        return rested_s >= (PLAN_LEAST_GAP_S if self._changed else PLAN_AGAIN_S)
+        elapsed_s = now_s - self._last_planned_s
+        return elapsed_s >= (MIN_REPLAN_INTERVAL_S if self._changed else REPLAN_INTERVAL_S)
 
-    def _settled(self, now_s: float) -> bool:
+    def _startup_settled(self, now_s: float) -> bool:
         """Tell whether every listed engine was asked since this began, or long enough passed.
 
         Where no engine has weights yet the list has to be whole too, as first loads that go by
@@ -420,55 +423,55 @@
         """
         passed_s = now_s - self._began_s
         records = self.engines.values()
-        asked = bool(records) and all(r.observed_s > 0 or r.misses for r in records)
-        if not asked and passed_s < self.tuning.settle_s:
+        probed = bool(records) and all(r.observed_s > 0 or r.misses for r in records)
+        if not probed and passed_s < self.tuning.settle_s:
             return False
-        if passed_s >= self.tuning.list_whole_at_most_s or not self._untouched():
+        if passed_s >= self.tuning.list_whole_at_most_s or not self._no_weights_seen():
             return True
-        return now_s - self._grown_s >= self.tuning.list_whole_s
+        return now_s - self._list_grown_s >= self.tuning.list_whole_s
 
-    def _untouched(self) -> bool:
+    def _no_weights_seen(self) -> bool:
         """Tell whether no engine is in a group, has weights or is about to get any."""
         return not any(
             record.membership or record.state.staged or record.state.busy
             for record in self.engines.values()
         )
 
-    def _begin_loads(self, now_s: float) -> None:
+    def _finish_startup(self, now_s: float) -> None:
         """Take into account the loads that the holder before this one may have begun.
 
         Those of the last window still go on, as loading takes longer than it. What was not
         seen yet, or was on an engine that is lost, is allowed for by a share of the bound.
         """
-        if self._started or not self._settled(now_s):
+        if self._started or not self._startup_settled(now_s):
             return
         self._started = True
-        untouched = self._untouched()
-        self._state.loads_seen = untouched
-        if not untouched:
-            for service, limit in self._state.limits.items():
-                unseen = int(limit.left(now_s) * self.tuning.loads_unseen_share)
-                begun = self._state.loading_anywhere(service) + unseen
-                limit.take(now_s, min(begun, limit.left(now_s)))
-
-    def _all_silent(self) -> bool:
+        no_weights_seen = self._no_weights_seen()
+        self._state.inherited_loads_seen = no_weights_seen
+        if not no_weights_seen:
+            for service, limit in self._state.load_limits.items():
+                unseen = int(limit.remaining(now_s) * self.tuning.loads_unseen_share)
+                begun = self._state.count_loading_anywhere(service) + unseen
+                limit.try_begin(now_s, min(begun, limit.remaining(now_s)))
+
+    def _most_silent(self) -> bool:
         """Tell whether so many engines are silent that the fault cannot be theirs.
 
         The fault must be this process's own or its network's then. Engines of drained halls do
         not count, as they may have been switched off.
         """
-        answering = [
+        expected = [
             each
             for each in self.engines.values()
-            if not each.leaving and not self._state.drains(each)
+            if not each.leaving and not self._state.is_drained(each)
         ]
-        silent = [each for each in answering if each.misses or each.dead]
-        return len(silent) > self.tuning.silent_share_at_most * max(1, len(answering))
+        silent = [each for each in expected if each.misses or each.dead]
+        return len(silent) > self.tuning.silent_share_at_most * max(1, len(expected))
 
-    def _forget(self) -> None:
+    def _remove_departed(self) -> None:
         grouped = {instance for group in self.groups.values() for instance in group.members}
         for instance, record in list(self.engines.items()):
-            if record.dead and record.missing_s is not None and instance not in grouped:
+            if record.dead and record.unlisted_since_s is not None and instance not in grouped:
                 del self.engines[instance]
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/demand.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/demand.py
@@ -8,12 +8,12 @@
 from ochreway_direct.coordinator.shares import work_shares
 from ochreway_direct.ids import ModelName
 
-LEAST_WORK = 0.05
+MIN_DEMAND = 0.05
 """The least work, in groups kept busy, that a configured model is planned for."""
 TYPICAL_SEQUENCES = 8
 CAPACITY_SHARE = 0.7
 """The share of a group's slots that may be busy without requests having to wait."""
-MEASURED_AT_LEAST_S = 1.0
+MIN_MEASUREMENT_S = 1.0
 """How long work is measured before a plan goes by it.
 
 Some 90 requests a second of which 79 are for one model: after one second its share is known to 4 in
@@ -21,7 +21,7 @@
 """
 HEAVY_SHARE = 0.8
 """The share of the work that one model may turn out to have: on a customer's site it is 0.85."""
-UNKNOWN_USE = 0.5
+ASSUMED_BUSY_SHARE = 0.5
 """The share of all engines that is taken to be busy before any request was seen."""
 
 
@@ -29,8 +29,8 @@
     spec: EngineSpec, model: ModelName | None, prompt_tokens: int, answer_tokens: int
 ) -> float:
     """Return how long a request keeps a group busy that runs a typical number of them."""
-    found = spec.model(model) if model is not None else None
-    pace = found.pace if found is not None else 1.0
+    model_spec = spec.model(model) if model is not None else None
+    pace = model_spec.pace if model_spec is not None else 1.0
     step_s = spec.token_s(TYPICAL_SEQUENCES)
     reading_s = prompt_tokens / spec.read_tokens_per_s
     return pace * (reading_s + answer_tokens * step_s / TYPICAL_SEQUENCES)
@@ -49,7 +49,7 @@
             return
         if self.measured_since_s is None:
             self.measured_since_s = now_s
-        if now_s - self.measured_since_s >= MEASURED_AT_LEAST_S:
+        if now_s - self.measured_since_s >= MIN_MEASUREMENT_S:
             self.offered = dict(offered)
 
     @property
@@ -63,10 +63,10 @@
         In each of them most of the busy engines are another model's. Weights are loaded for all of
         them; groups are planned by the needs that the configuration tells.
         """
-        needs = self.needs(spec, engines)
-        if self.measured or len(needs) < 2:
-            return (needs,)
-        rest = (1.0 - HEAVY_SHARE) / (len(needs) - 1)
+        model_demand = self.by_model(spec, engines)
+        if self.measured or len(model_demand) < 2:
+            return (model_demand,)
+        rest = (1.0 - HEAVY_SHARE) / (len(model_demand) - 1)
         return tuple(
             {
                 m.name: _full_load(spec, m, engines, HEAVY_SHARE if m is heavy else rest)
@@ -75,15 +75,15 @@
             for heavy in spec.models
         )
 
-    def needs(self, spec: EngineSpec, engines: int) -> dict[ModelName, float]:
+    def by_model(self, spec: EngineSpec, engines: int) -> dict[ModelName, float]:
         """Return the work of each model, from its configured share until any was measured."""
         measured = {m.name: self.offered.get(m.name, 0.0) for m in spec.models}
         if sum(measured.values()) > 0:
-            return {name: max(LEAST_WORK, work) for name, work in measured.items()}
+            return {name: max(MIN_DEMAND, work) for name, work in measured.items()}
         shares = work_shares(spec)
         size = sum(shares[m.name] * m.size for m in spec.models)
-        busy = UNKNOWN_USE * engines / size
-        return {m.name: max(LEAST_WORK, shares[m.name] * busy) for m in spec.models}
+        busy = ASSUMED_BUSY_SHARE * engines / size
+        return {m.name: max(MIN_DEMAND, shares[m.name] * busy) for m in spec.models}
 
 
 def _full_load(spec: EngineSpec, model: ModelSpec, engines: int, share: float) -> float:
@@ -91,8 +91,8 @@
 
     A group counts as busy with ``TYPICAL_SEQUENCES``, and has more slots than that.
     """
-    groups = UNKNOWN_USE * share * engines / model.size
-    return max(LEAST_WORK, groups * CAPACITY_SHARE * spec.slots / TYPICAL_SEQUENCES)
+    groups = ASSUMED_BUSY_SHARE * share * engines / model.size
+    return max(MIN_DEMAND, groups * CAPACITY_SHARE * spec.slots / TYPICAL_SEQUENCES)
 
 
-__all__ = ["CAPACITY_SHARE", "MEASURED_AT_LEAST_S", "TYPICAL_SEQUENCES", "Demand", "work_s"]
+__all__ = ["CAPACITY_SHARE", "MIN_MEASUREMENT_S", "TYPICAL_SEQUENCES", "Demand", "work_s"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/enginerecord.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/enginerecord.py
@@ -41,20 +41,20 @@
     dead: bool = False
     displaced: bool = False
     backed_off: bool = False
-    missing_s: float | None = None
-    pending: Order | None = None
-    ordered: Order | None = None
-    ordered_s: float = NEVER_S
+    unlisted_since_s: float | None = None
+    pending_order: Order | None = None
+    last_order: Order | None = None
+    last_ordered_s: float = NEVER_S
     last_model: ModelName | None = None
-    last_model_due_s: float = NEVER_S
+    last_model_until_s: float = NEVER_S
     staging: ModelName | None = None
     staging_until_s: float = NEVER_S
-    taken: bool = False
-    change_due_s: float = NEVER_S
+    order_accepted: bool = False
+    change_expected_s: float = NEVER_S
     departure: Departure | None = None
-    news_due_s: float = NEVER_S
+    listed_change_due_s: float = NEVER_S
     cold_until_s: float = NEVER_S
-    probing: bool = field(default=False)
+    probe_pending: bool = field(default=False)
 
     @property
     def instance(self) -> InstanceId:
@@ -79,13 +79,13 @@
     @property
     def leaving(self) -> bool:
         """Tell whether the engine has said in its row or a report that it leaves, or is gone."""
-        return self.listed.leaving or self.state.leaving or self.missing_s is not None
+        return self.listed.leaving or self.state.leaving or self.unlisted_since_s is not None
 
     @property
     def usable(self) -> bool:
         """Tell whether the engine may become a member."""
-        away = self.dead or self.leaving or self.backed_off
-        return not away and self.observed_s > NEVER_S
+        unavailable = self.dead or self.leaving or self.backed_off
+        return not unavailable and self.observed_s > NEVER_S
 
     @property
     def loading(self) -> bool:
@@ -93,58 +93,58 @@
         return self.staging is not None or self.state.busy
 
     @property
-    def ordered_group(self) -> bool:
+    def group_order_pending(self) -> bool:
         """Tell whether an order that changes its group is under way."""
-        return self.pending is not None and not isinstance(self.pending, Stage)
+        return self.pending_order is not None and not isinstance(self.pending_order, Stage)
 
     def belongs_to(self, group: GroupId, epoch: Epoch) -> bool:
         """Tell whether the engine was last seen in this group at this epoch."""
-        found = self.membership
-        return found is not None and found.group == group and found.epoch == epoch
+        member_of = self.membership
+        return member_of is not None and member_of.group == group and member_of.epoch == epoch
 
-    def stands_in(self, group: GroupId, epoch: Epoch, rank: int) -> bool:
+    def holds_rank(self, group: GroupId, epoch: Epoch, rank: int) -> bool:
         """Tell whether the engine was last seen at its own place in a group.
 
         Reports do not name who gives them: one of another place in the group comes from another
         member, which has started at this one's address.
         """
-        found = self.membership
-        return found is not None and self.belongs_to(group, epoch) and found.rank == rank
+        member_of = self.membership
+        return member_of is not None and self.belongs_to(group, epoch) and member_of.rank == rank
 
-    def stage(self, model: ModelName, until_s: float) -> None:
+    def begin_staging(self, model: ModelName, until_s: float) -> None:
         """Note that the engine is getting a model's weights, until a time at the latest."""
         self.staging = model
         self.staging_until_s = until_s
 
-    def left(self, group: GroupId, epoch: Epoch, until_s: float) -> None:
+    def assume_left(self, group: GroupId, epoch: Epoch, until_s: float) -> None:
         """Take it that the engine has left a group; its reports may name it for a while."""
         self.departure = Departure(group, epoch, until_s)
         if self.belongs_to(group, epoch):
             self.state = replace(self.state, membership=None)
 
-    def joined(self, model: ModelName, until_s: float) -> None:
+    def assume_joined(self, model: ModelName, until_s: float) -> None:
         """Take it that the engine joins a model; its reports may show the one before for a while.
 
         It cannot go back to that one at once any more.
         """
         self.last_model = model
-        self.last_model_due_s = until_s
+        self.last_model_until_s = until_s
 
-    def list(self, listed: ListedTarget, now_s: float) -> None:
+    def update_listing(self, listed: ListedTarget, now_s: float) -> None:
         """Take the engine's row; one that says anew for how long it is cold is so from now on."""
         if listed.cold_s > 0.0 and listed.cold_s != self.listed.cold_s:
             self.cold_until_s = now_s + listed.cold_s
         self.displaced = self.displaced and listed.address == self.listed.address
         self.listed = listed
-        self.missing_s = None
+        self.unlisted_since_s = None
 
-    def displace(self) -> None:
+    def mark_displaced(self) -> None:
         """Take it that another instance answers at the engine's address, as itself has ended."""
         self.displaced = self.dead = True
 
-    def has_news(self, now_s: float) -> bool:
+    def has_unreported_change(self, now_s: float) -> bool:
         """Tell whether the list showed a change that no report has shown yet."""
-        return self.observed_s < self.news_due_s <= now_s
+        return self.observed_s < self.listed_change_due_s <= now_s
 
     def changed_by(self, state: EngineState) -> bool:
         """Tell whether a report differs in what groups are formed by, not only in load."""
@@ -171,13 +171,13 @@
         """Take the engine's own report, but for a group that it has left since."""
         self.state = state
         self.observed_s = asked_s
-        shown = state.model if state.membership is not None else None
-        if shown is not None and asked_s >= self.last_model_due_s:
-            self.last_model = shown
+        reported_model = state.model if state.membership is not None else None
+        if reported_model is not None and asked_s >= self.last_model_until_s:
+            self.last_model = reported_model
         if self.departure is not None and asked_s < self.departure.until_s:
-            self.left(self.departure.group, self.departure.epoch, self.departure.until_s)
+            self.assume_left(self.departure.group, self.departure.epoch, self.departure.until_s)
 
-    def quick(self, model: ModelName) -> bool:
+    def can_join(self, model: ModelName) -> bool:
         """Tell whether the engine can join a group of a model without loading weights.
 
         One that is loading other weights has to finish that first, unless its last group was
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/formation.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/formation.py
@@ -7,14 +7,14 @@
 
 from ochreway_core.ids import DomainId, InstanceId
 from ochreway_direct.configuration import EngineSpec, ModelSpec
-from ochreway_direct.coordinator.census import Census, Engines, take_census
+from ochreway_direct.coordinator.capacities import capacities_after_loading, current_capacities
+from ochreway_direct.coordinator.census import Census, EnginesByDomain, take_census
 from ochreway_direct.coordinator.enginerecord import EngineRecord
 from ochreway_direct.coordinator.grouprecord import SPANNING
-from ochreway_direct.coordinator.heldback import held_back
-from ochreway_direct.coordinator.missing import where_least_lacks
-from ochreway_direct.coordinator.placement import Slot
+from ochreway_direct.coordinator.missing import place_missing_groups
+from ochreway_direct.coordinator.placement import GroupSlot
 from ochreway_direct.coordinator.planner import Planner
-from ochreway_direct.coordinator.rooms import rooms_later, rooms_now
+from ochreway_direct.coordinator.reservation import reserved_engines
 from ochreway_direct.coordinator.spanning import SpanningFormation
 from ochreway_direct.coordinator.state import CoordinatorState
 from ochreway_direct.coordinator.swapping import Swapping
@@ -33,12 +33,12 @@
     """
 
     scenarios: tuple[Mapping[ModelName, float], ...]
-    at_once: Counter[Slot]
-    wanted: Counter[Slot]
-    missing: Counter[Slot]
-    awaited: frozenset[Slot]
-    free: Engines
-    survivors: Engines
+    formable: Counter[GroupSlot]
+    wanted: Counter[GroupSlot]
+    missing: Counter[GroupSlot]
+    awaited: frozenset[GroupSlot]
+    free: EnginesByDomain
+    survivors: EnginesByDomain
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,9 +49,9 @@
     """
 
     measured: bool
-    needs: Mapping[ModelName, float]
-    wanted: Mapping[Slot, int]
-    standing: Mapping[Slot, int]
+    model_demand: Mapping[ModelName, float]
+    wanted: Mapping[GroupSlot, int]
+    current: Mapping[GroupSlot, int]
 
 
 class Formation:
@@ -60,37 +60,52 @@
     def __init__(self, state: CoordinatorState) -> None:
         self._state = state
         self.plans: dict[ServiceName, PlanSummary] = {}
-        self._now = defaultdict[ServiceName, Planner](lambda: Planner(state.tuning))
-        self._later = defaultdict[ServiceName, Planner](lambda: Planner(state.tuning))
+        self._planners_now = defaultdict[ServiceName, Planner](lambda: Planner(state.tuning))
+        self._planners_after_loading = defaultdict[ServiceName, Planner](
+            lambda: Planner(state.tuning)
+        )
         self._spanning = SpanningFormation(state)
         self._trading = Trading(state)
         self._swapping = Swapping(state)
 
-    def step(self, service: ServiceName, spec: EngineSpec, now_s: float) -> Outlook:
+    def form_groups(self, service: ServiceName, spec: EngineSpec, now_s: float) -> Outlook:
         """Form what can be had at once; return what is awaited, and what weights are for."""
         census = take_census(self._state, service)
         if self._state.tuning.swapping:
-            self._swapping.step(census, now_s)
-        free, standing = census.free, census.standing
-        inside = Counter({slot: n for slot, n in standing.items() if slot.domain != SPANNING})
-        rooms = rooms_now(self._state, spec, census)
-        engines = sum(room.total for room in rooms.values())
-        needs = self._state.demand.needs(spec, engines)
+            self._swapping.close_slow_groups(census, now_s)
+        free, current = census.free, census.current
+        inside = Counter({slot: n for slot, n in current.items() if slot.domain != SPANNING})
+        capacities = current_capacities(self._state, spec, census)
+        engines = sum(room.total for room in capacities.values())
+        model_demand = self._state.demand.by_model(spec, engines)
         scenarios = self._state.demand.scenarios(spec, engines)
-        down, least = self._state.down, self._state.least_gain
-        wanted = self._now[service].plan(spec, (needs,), rooms, inside, down, least)
-        self.plans[service] = PlanSummary(self._state.demand.measured, needs, wanted, inside)
-        later = self._later[service].plan(
-            spec, (needs,), rooms_later(spec, rooms), inside, down, least
+        downtime_share, threshold = self._state.downtime_share, self._state.min_utility
+        wanted = self._planners_now[service].plan(
+            spec, (model_demand,), capacities, inside, downtime_share, threshold
+        )
+        self.plans[service] = PlanSummary(self._state.demand.measured, model_demand, wanted, inside)
+        later = self._planners_after_loading[service].plan(
+            spec,
+            (model_demand,),
+            capacities_after_loading(spec, capacities),
+            inside,
+            downtime_share,
+            threshold,
+        )
+        missing = place_missing_groups(spec, wanted, later, census)
+        reserved = reserved_engines(
+            spec, model_demand, wanted, missing, census, self._state.downtime_share
+        )
+        awaited = self._form_wanted(service, spec, wanted, census, reserved, now_s)
+        awaiting_domains = {slot.domain for slot in awaited}
+        spare: EnginesByDomain = defaultdict(list)
+        spare.update(
+            {domain: found for domain, found in free.items() if domain not in awaiting_domains}
         )
-        missing = where_least_lacks(spec, wanted, later, census)
-        kept = held_back(spec, needs, wanted, missing, census, self._state.down)
-        awaited = self._form_wanted(service, spec, wanted, census, kept, now_s)
-        taken = {slot.domain for slot in awaited}
-        spare: Engines = defaultdict(list)
-        spare.update({domain: found for domain, found in free.items() if domain not in taken})
         if self._state.tuning.spanning:
-            self._spanning.step(service, spec, needs, wanted | inside, census, spare, now_s)
+            self._spanning.form_groups(
+                service, spec, model_demand, wanted | inside, census, spare, now_s
+            )
         return Outlook(
             scenarios, wanted, later, missing, frozenset(awaited), free, census.survivors
         )
@@ -99,23 +114,23 @@
         self,
         service: ServiceName,
         spec: EngineSpec,
-        wanted: Mapping[Slot, int],
+        wanted: Mapping[GroupSlot, int],
         census: Census,
-        kept: Mapping[Slot, Collection[InstanceId]],
+        reserved: Mapping[GroupSlot, Collection[InstanceId]],
         now_s: float,
-    ) -> set[Slot]:
+    ) -> set[GroupSlot]:
         """Form the groups that are wanted; return the places whose engines are still awaited."""
         awaited = set()
-        surplus = Counter(census.standing)
+        surplus = Counter(census.current)
         surplus.subtract(wanted)
         for slot in sorted(wanted, key=lambda each: (each.domain, each.model)):
             model = spec.model(slot.model)
             assert model is not None
-            for _ in range(wanted[slot] - census.standing[slot]):
-                others = kept.get(slot, ())
-                if not self._form(service, spec, model, census, slot.domain, others, now_s):
+            for _ in range(wanted[slot] - census.current[slot]):
+                reserved_here = reserved.get(slot, ())
+                if not self._form(service, spec, model, census, slot.domain, reserved_here, now_s):
                     if self._state.tuning.trading:
-                        self._trading.complete(service, model, slot, surplus, census, now_s)
+                        self._trading.close_for(service, model, slot, surplus, census, now_s)
                     awaited.add(slot)
                     break
         return awaited
@@ -127,7 +142,7 @@
         model: ModelSpec,
         census: Census,
         domain: DomainId,
-        kept: Collection[InstanceId],
+        reserved: Collection[InstanceId],
         now_s: float,
     ) -> bool:
         """Form a group; return whether there were engines enough.
@@ -135,21 +150,21 @@
         They have to have the weights, unless no engine of the domain has any yet.
         """
         free = census.free[domain]
-        quick = [r for r in free if r.quick(model.name) and r.instance not in kept]
-        cold = not quick and domain not in census.warm
+        joinable = [r for r in free if r.can_join(model.name) and r.instance not in reserved]
+        cold = not joinable and domain not in census.warm_domains
         if cold and len(free) >= model.size:
             if not self._begin_loads(service, model, now_s):
                 return False
-            quick = list(free)
-        if len(quick) < model.size:
+            joinable = list(free)
+        if len(joinable) < model.size:
             return False
-        quick.sort(key=lambda record: self._preference(spec, model, record))
-        chosen = quick[: model.size]
+        joinable.sort(key=lambda record: self._preference(spec, model, record))
+        chosen = joinable[: model.size]
         for record in chosen:
             free.remove(record)
         if cold:
             for record in chosen:
-                record.stage(model.name, now_s + 2 * model.load_s)
+                record.begin_staging(model.name, now_s + 2 * model.load_s)
         expected_s = model.load_s if cold else model.warm_s
         self._state.begin_group(service, model, domain, chosen, expected_s, now_s)
         return True
@@ -161,7 +176,7 @@
 
         Slow ones come last, and those before that can serve other models too.
         """
-        others = sum(record.quick(m.name) for m in spec.models if m.name != model.name)
+        others = sum(record.can_join(m.name) for m in spec.models if m.name != model.name)
         slow = record.state.pace > self._state.tuning.fit_pace
         return slow, others, record.last_model != model.name
 
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/grouprecord.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/grouprecord.py
@@ -62,14 +62,14 @@
     phase: GroupPhase
     since_s: float
     expected_s: float = 0.0
-    close_at_most_s: float = 0.0
-    serves_s: float | None = None
-    suspected_s: float = NEVER_S
+    close_timeout_s: float = 0.0
+    serving_from_s: float | None = None
+    last_suspected_s: float = NEVER_S
     cause: PhaseCause = PhaseCause.BEGUN
     blamed: InstanceId | None = None
     fenced: bool = False
     ready: set[InstanceId] = field(default_factory=set)
-    told: set[InstanceId] = field(default_factory=set)
+    leave_ordered: set[InstanceId] = field(default_factory=set)
     released: set[InstanceId] = field(default_factory=set)
 
     @property
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/layout.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/layout.py
@@ -8,26 +8,26 @@
 from ochreway_core.ids import DomainId
 from ochreway_direct.configuration import EngineSpec, ModelSpec
 from ochreway_direct.coordinator.arrangement import arrange
-from ochreway_direct.coordinator.placement import Placement, Slot, totals_of
-from ochreway_direct.coordinator.room import Room
+from ochreway_direct.coordinator.capacity import Capacity
+from ochreway_direct.coordinator.placement import GroupSlot, Placement, groups_per_model
 from ochreway_direct.coordinator.shares import work_shares
 from ochreway_direct.coordinator.tuning import CoordinatorTuning
-from ochreway_direct.coordinator.worth import gain
+from ochreway_direct.coordinator.worth import marginal_utility
 from ochreway_direct.ids import ModelName
 
-ROUNDS_AT_MOST = 4
+MAX_BALANCING_ROUNDS = 4
 """How often groups are spread anew and engines that this leaves over are used."""
 
 
 def plan(
     spec: EngineSpec,
     scenarios: Sequence[Mapping[ModelName, float]],
-    rooms: Mapping[DomainId, Room],
-    standing: Mapping[Slot, int],
-    down: float,
+    capacities: Mapping[DomainId, Capacity],
+    current: Mapping[GroupSlot, int],
+    downtime_share: float,
     tuning: CoordinatorTuning,
-    least_gain: float | None = None,
-) -> Counter[Slot]:
+    min_utility: float | None = None,
+) -> Counter[GroupSlot]:
     """Return the number of groups for each place.
 
     Groups are added as long as all of them find room, the one that adds most for each engine
@@ -48,12 +48,12 @@
         tuning: the weights.
         least_gain: what a group has to add for each of its engines, if not what the weights say.
     """
-    least = tuning.least_gain if least_gain is None else least_gain
-    layout = _Layout(spec, scenarios, rooms, standing, down, tuning, least)
+    threshold = tuning.least_gain if min_utility is None else min_utility
+    layout = _Layout(spec, scenarios, capacities, current, downtime_share, tuning, threshold)
     layout.fill()
-    if not least:
-        layout.give_each_a_group()
-        layout.spread()
+    if not threshold:
+        layout.cover_every_model()
+        layout.balance()
     return layout.placement.placed
 
 
@@ -64,24 +64,24 @@
         self,
         spec: EngineSpec,
         scenarios: Sequence[Mapping[ModelName, float]],
-        rooms: Mapping[DomainId, Room],
-        standing: Mapping[Slot, int],
-        down: float,
+        capacities: Mapping[DomainId, Capacity],
+        current: Mapping[GroupSlot, int],
+        downtime_share: float,
         tuning: CoordinatorTuning,
-        least: float,
+        threshold: float,
     ) -> None:
-        self.placement = Placement(rooms, standing)
+        self.placement = Placement(capacities, current)
         self._spec = spec
         self._scenarios = scenarios
-        self._rooms = rooms
-        self._standing = standing
-        self._down = down
+        self._capacities = capacities
+        self._current = current
+        self._downtime_share = downtime_share
         self._tuning = tuning
-        self._least = least
-        self._stand = totals_of(standing)
+        self._threshold = threshold
+        self._current_totals = groups_per_model(current)
         self._totals: Counter[ModelName] = Counter()
         self._shares = work_shares(spec)
-        self._engines = sum(room.total for room in rooms.values())
+        self._engines = sum(room.total for room in capacities.values())
 
     def fill(self) -> None:
         """Add groups while one more is worth its engines and finds room."""
@@ -89,12 +89,12 @@
         possible = list(self._spec.models)
         while possible:
             model = max(possible, key=self._preference)
-            if self._value(model) < self._least:
+            if self._value(model) < self._threshold:
                 break
             if not self._add(model):
                 possible.remove(model)
 
-    def give_each_a_group(self) -> None:
+    def cover_every_model(self) -> None:
         """Plan anew round one group of each model, where more models have one then.
 
         A model without a group refuses all of its callers; one that has many can spare a few.
@@ -102,43 +102,45 @@
         served = sum(self._totals[model.name] > 0 for model in self._spec.models)
         if served == len(self._spec.models):
             return
-        first: Counter[ModelName] = Counter()
-        found: Counter[Slot] = Counter()
-        for model in sorted(self._spec.models, key=self._added, reverse=True):
-            arranged = self._arranged_with(first, model)
+        covered: Counter[ModelName] = Counter()
+        best_arrangement: Counter[GroupSlot] = Counter()
+        for model in sorted(self._spec.models, key=self._utility_per_engine, reverse=True):
+            arranged = self._arranged_with(covered, model)
             if arranged is not None:
-                first[model.name] = 1
-                found = arranged
-        if len(first) > served:
-            self._begin_with(found)
+                covered[model.name] = 1
+                best_arrangement = arranged
+        if len(covered) > served:
+            self._restart_with(best_arrangement)
             self.fill()
 
-    def spread(self) -> None:
+    def balance(self) -> None:
         """Move new groups of which one domain has more than half, and use what that leaves over."""
-        for _ in range(ROUNDS_AT_MOST):
-            arranged = self._evener()
+        for _ in range(MAX_BALANCING_ROUNDS):
+            arranged = self._balanced_arrangement()
             if arranged is None:
                 return
-            self._begin_with(arranged)
+            self._restart_with(arranged)
             self.fill()
 
     # What a group is worth.
 
     def _value(self, model: ModelSpec) -> float:
-        if not self._least and self._beyond_share(model):
+        if not self._threshold and self._beyond_share(model):
             return 0.0
-        added = self._added(model)
-        stands = self._totals[model.name] < self._stand[model.name]
-        return added * (self._tuning.keep_bonus if stands else 1.0)
+        utility = self._utility_per_engine(model)
+        is_current = self._totals[model.name] < self._current_totals[model.name]
+        return utility * (self._tuning.keep_bonus if is_current else 1.0)
 
-    def _added(self, model: ModelSpec) -> float:
+    def _utility_per_engine(self, model: ModelSpec) -> float:
         """Return what one more group adds for each of its engines, on average."""
         groups = self._totals[model.name]
-        added = sum(
-            gain(self._spec, model, needs[model.name], groups, self._down)
-            for needs in self._scenarios
+        utility = sum(
+            marginal_utility(
+                self._spec, model, model_demand[model.name], groups, self._downtime_share
+            )
+            for model_demand in self._scenarios
         )
-        return added / (len(self._scenarios) * model.size)
+        return utility / (len(self._scenarios) * model.size)
 
     def _beyond_share(self, model: ModelSpec) -> bool:
         engines = (self._totals[model.name] + 1) * model.size
@@ -160,63 +162,69 @@
         Where it finds none beside the others, all are placed anew, larger ones first.
         """
         if not self.placement.add(model):
-            anew = self._anew_with(model)
-            if anew is None:
+            rebuilt = self._rebuilt_with(model)
+            if rebuilt is None:
                 return False
-            self.placement = anew
+            self.placement = rebuilt
         self._totals[model.name] += 1
         return True
 
-    def _anew_with(self, model: ModelSpec) -> Placement | None:
-        anew = Placement(self._rooms, self._standing)
+    def _rebuilt_with(self, model: ModelSpec) -> Placement | None:
+        rebuilt = Placement(self._capacities, self._current)
         for each in sorted(self._spec.models, key=lambda each: -each.size):
             for _ in range(self._totals[each.name] + (each is model)):
-                if not anew.add(each):
+                if not rebuilt.add(each):
                     return None
-        return anew
+        return rebuilt
 
-    def _begin_with(self, placed: Mapping[Slot, int]) -> None:
-        self.placement = Placement(self._rooms, self._standing, self._spec.models, placed)
-        self._totals = totals_of(placed)
+    def _restart_with(self, placed: Mapping[GroupSlot, int]) -> None:
+        self.placement = Placement(self._capacities, self._current, self._spec.models, placed)
+        self._totals = groups_per_model(placed)
 
     def _arranged_with(
-        self, first: Mapping[ModelName, int], model: ModelSpec
-    ) -> Counter[Slot] | None:
+        self, covered: Mapping[ModelName, int], model: ModelSpec
+    ) -> Counter[GroupSlot] | None:
         """Return places for one group of each of some models and a further one, if there are any.
 
         Groups that stand keep their place where the others find one beside them.
         """
-        wanted = {**first, model.name: 1}
-        standing = sorted(slot for slot, n in self._standing.items() if n and slot.model in wanted)
-        kept = {slot: 1 for slot in {each.model: each for each in standing}.values()}
-        at_most = dict.fromkeys((each.name for each in self._spec.models), 1)
-        models, rooms = self._spec.models, self._rooms
-        found = arrange(models, wanted, rooms, kept, at_most)
-        return arrange(models, wanted, rooms, {}, at_most) if found is None else found
-
-    def _evener(self) -> Counter[Slot] | None:
+        wanted = {**covered, model.name: 1}
+        current_slots = sorted(
+            slot for slot, n in self._current.items() if n and slot.model in wanted
+        )
+        kept = {slot: 1 for slot in {each.model: each for each in current_slots}.values()}
+        max_groups = dict.fromkeys((each.name for each in self._spec.models), 1)
+        models, capacities_held = self._spec.models, self._capacities
+        arrangement = arrange(models, wanted, capacities_held, kept, max_groups)
+        return (
+            arrange(models, wanted, capacities_held, {}, max_groups)
+            if arrangement is None
+            else arrangement
+        )
+
+    def _balanced_arrangement(self) -> Counter[GroupSlot] | None:
         """Return places for as many groups, such that fewer models have over half in a domain."""
         placed = self.placement.placed
         over = _over_half(placed)
         if not over:
             return None
-        kept = {slot: min(n, placed[slot]) for slot, n in self._standing.items()}
+        kept = {slot: min(n, placed[slot]) for slot, n in self._current.items()}
         for number in range(len(over)):
-            for left_over in combinations(sorted(over), number):
-                at_most = {
-                    name: total if name in left_over else _half(total)
+            for exempted in combinations(sorted(over), number):
+                max_groups = {
+                    name: total if name in exempted else _half(total)
                     for name, total in self._totals.items()
                 }
-                models = [model for model in self._spec.models if model.name in at_most]
-                found = arrange(models, self._totals, self._rooms, kept, at_most)
-                if found is not None:
-                    return found
+                models = [model for model in self._spec.models if model.name in max_groups]
+                arrangement = arrange(models, self._totals, self._capacities, kept, max_groups)
+                if arrangement is not None:
+                    return arrangement
         return None
 
 
-def _over_half(placed: Mapping[Slot, int]) -> set[ModelName]:
+def _over_half(placed: Mapping[GroupSlot, int]) -> set[ModelName]:
     """Return the models of which a domain has more than half of the groups."""
-    totals = totals_of(placed)
+    totals = groups_per_model(placed)
     return {slot.model for slot, number in placed.items() if number > _half(totals[slot.model])}
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/lifecycle.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/lifecycle.py
@@ -35,24 +35,24 @@
     def __init__(self, state: CoordinatorState) -> None:
         self._state = state
 
-    def step(self, now_s: float) -> None:
+    def advance(self, now_s: float) -> None:
         """Take over groups that are reported, then see to each."""
-        self._adopt(now_s)
+        self._adopt_reported(now_s)
         for group in list(self._state.groups.values()):
-            self._STEPS[group.phase](self, group, now_s)
+            self._PHASE_HANDLERS[group.phase](self, group, now_s)
 
-    def on_taken(self, record: EngineRecord, order: Order, now_s: float) -> None:
+    def on_order_accepted(self, record: EngineRecord, order: Order, now_s: float) -> None:
         """Note that an engine carries an order out, and when its reports will show that."""
-        seen_s = now_s + self.report_lag_s(record.service)
+        reported_from_s = now_s + self.report_lag_s(record.service)
         match order:
             case Leave(group, epoch):
-                record.left(group, epoch, seen_s)
+                record.assume_left(group, epoch, reported_from_s)
             case Open(group, _) if group in self._state.groups:
                 opened = self._state.groups[group]
-                opened.serves_s = now_s + self._forming_s(record.service)
+                opened.serving_from_s = now_s + self._forming_s(record.service)
             case Join(_, _, model, _):
-                record.change_due_s = seen_s + self._joining_s(record, model)
-                record.joined(model, seen_s)
+                record.change_expected_s = reported_from_s + self._joining_s(record, model)
+                record.assume_joined(model, reported_from_s)
             case _:
                 pass
 
@@ -64,26 +64,26 @@
     def _joining_s(self, record: EngineRecord, model: ModelName) -> float:
         """Return how long an engine takes to join, unless it has to load weights."""
         spec = self._state.specs.get(record.service)
-        found = spec.model(model) if spec is not None else None
-        if found is None or record.last_model == model:
+        joined_spec = spec.model(model) if spec is not None else None
+        if joined_spec is None or record.last_model == model:
             return self._state.tuning.rejoin_s
-        return found.warm_s
+        return joined_spec.warm_s
 
     def _forming_s(self, service: ServiceName) -> float:
         spec = self._state.specs.get(service)
         return spec.form_s if spec is not None else 0.0
 
-    def _adopt(self, now_s: float) -> None:
+    def _adopt_reported(self, now_s: float) -> None:
         """Take over whole groups that engines report; dissolve what is left of others."""
-        found: dict[tuple[GroupId, Epoch], dict[int, EngineRecord]] = defaultdict(dict)
+        unknown_groups: dict[tuple[GroupId, Epoch], dict[int, EngineRecord]] = defaultdict(dict)
         for record in self._state.engines.values():
             membership = record.membership
             if membership is None or record.dead or record.observed_s < 0:
                 continue
             known = self._state.groups.get(membership.group)
             if known is None or known.epoch != membership.epoch:
-                found[membership.group, membership.epoch][membership.rank] = record
-        for (group, epoch), ranks in found.items():
+                unknown_groups[membership.group, membership.epoch][membership.rank] = record
+        for (group, epoch), ranks in unknown_groups.items():
             self._adopt_group(group, epoch, ranks, now_s)
 
     def _adopt_group(
@@ -93,12 +93,12 @@
         spec = self._state.specs.get(any_member.service)
         model = any_member.state.model
         model_spec = spec.model(model) if spec is not None and model is not None else None
-        busy = {i for each in self._state.groups.values() for i in each.members}
-        whole = model_spec is not None and set(ranks) == set(range(model_spec.size))
+        grouped = {i for each in self._state.groups.values() for i in each.members}
+        complete = model_spec is not None and set(ranks) == set(range(model_spec.size))
         if (
-            whole
+            complete
             and group not in self._state.groups
-            and not busy & {r.instance for r in ranks.values()}
+            and not grouped & {r.instance for r in ranks.values()}
         ):
             assert model_spec is not None
             members = tuple(ranks[rank].instance for rank in range(model_spec.size))
@@ -113,9 +113,9 @@
             )
             return
         for record in ranks.values():
-            self._state.order(record, Leave(group, epoch), now_s)
+            self._state.issue_order(record, Leave(group, epoch), now_s)
 
-    def _unfit(self, group: GroupRecord) -> Loss | None:
+    def _fatal_loss(self, group: GroupRecord) -> Loss | None:
         """Return why a group cannot go on, if it cannot: a member is lost, or refuses to join."""
         if group.fenced:
             return Loss(PhaseCause.FENCED)
@@ -125,12 +125,12 @@
                 return Loss(PhaseCause.MEMBER_SILENT, instance)
             if instance in group.ready and not record.belongs_to(group.group, group.epoch):
                 return Loss(PhaseCause.MEMBER_LEFT, instance)
-            broken = record.membership is not None and record.membership.phase
-            if broken is MemberPhase.BROKEN and record.belongs_to(group.group, group.epoch):
+            member_phase = record.membership is not None and record.membership.phase
+            if member_phase is MemberPhase.BROKEN and record.belongs_to(group.group, group.epoch):
                 return Loss(PhaseCause.MEMBER_BROKEN, instance)
         return None
 
-    def _leaving(self, group: GroupRecord) -> Loss | None:
+    def _leaving_member(self, group: GroupRecord) -> Loss | None:
         for instance in group.members:
             if self._state.engines[instance].leaving:
                 return Loss(PhaseCause.MEMBER_LEAVING, instance)
@@ -141,22 +141,27 @@
         if group.cause is not PhaseCause.BEGUN:
             return None
         records = [self._state.engines[instance] for instance in group.members]
-        drained = [record for record in records if self._state.drains(record)]
+        drained = [record for record in records if self._state.is_drained(record)]
         if not drained or len(drained) == len(records):
             return None
         return Loss(PhaseCause.HALL_DRAINED, drained[0].instance)
 
-    def _step_forming(self, group: GroupRecord, now_s: float) -> None:
-        if self._state.drains_group(group):
+    def _advance_forming(self, group: GroupRecord, now_s: float) -> None:
+        if self._state.touches_drained_hall(group):
             group.since_s = now_s
         late = now_s - group.since_s > group.expected_s + self._state.tuning.form_slack_s
         too_late = Loss(PhaseCause.TOO_LATE) if late else None
-        loss = self._unfit(group) or self._leaving(group) or self._partly_drained(group) or too_late
+        loss = (
+            self._fatal_loss(group)
+            or self._leaving_member(group)
+            or self._partly_drained(group)
+            or too_late
+        )
         if loss is not None:
             group.enter(GroupPhase.DISSOLVING, now_s, loss.cause, loss.blamed)
             return
         for instance in group.members:
-            self._bring_in(group, self._state.engines[instance], now_s)
+            self._admit_member(group, self._state.engines[instance], now_s)
         if len(group.ready) < len(group.members):
             return
         leader = self._state.engines[group.leader]
@@ -164,45 +169,49 @@
         if leader.membership.phase is MemberPhase.OPEN:
             group.enter(GroupPhase.SERVING, now_s, PhaseCause.OPENED)
             return
-        if group.serves_s is None:
-            self._state.order(leader, Open(group.group, group.epoch), now_s)
-        elif now_s >= group.serves_s:
+        if group.serving_from_s is None:
+            self._state.issue_order(leader, Open(group.group, group.epoch), now_s)
+        elif now_s >= group.serving_from_s:
             group.enter(GroupPhase.SERVING, now_s, PhaseCause.OPENED)
 
-    def _bring_in(self, group: GroupRecord, record: EngineRecord, now_s: float) -> None:
+    def _admit_member(self, group: GroupRecord, record: EngineRecord, now_s: float) -> None:
         membership = record.membership
         if membership is not None and record.belongs_to(group.group, group.epoch):
             rank = group.members.index(record.instance)
-            if not record.stands_in(group.group, group.epoch, rank):
-                record.displace()
+            if not record.holds_rank(group.group, group.epoch, rank):
+                record.mark_displaced()
             elif membership.phase in READY_PHASES:
                 group.ready.add(record.instance)
             return
         if membership is None:
             join = Join(group.group, group.epoch, group.model, group.members)
-            self._state.order(record, join, now_s)
+            self._state.issue_order(record, join, now_s)
 
-    def _step_serving(self, group: GroupRecord, now_s: float) -> None:
-        loss = self._unfit(group)
+    def _advance_serving(self, group: GroupRecord, now_s: float) -> None:
+        loss = self._fatal_loss(group)
         if loss is not None:
             group.enter(GroupPhase.DISSOLVING, now_s, loss.cause, loss.blamed)
             return
         leader = self._state.engines[group.leader]
-        told = self._told(leader, group)
-        shut = leader.membership is not None and leader.membership.phase is not MemberPhase.OPEN
-        ending = self._leaving(group) or (Loss(PhaseCause.SHUT) if told and shut else None)
-        if ending is not None:
-            group.close_at_most_s = self._state.tuning.close_at_most_s
-            group.enter(GroupPhase.CLOSING, now_s, ending.cause, ending.blamed)
-
-    def _told(self, leader: EngineRecord, group: GroupRecord) -> bool:
+        reported = self._report_is_current(leader, group)
+        leader_closed = (
+            leader.membership is not None and leader.membership.phase is not MemberPhase.OPEN
+        )
+        closing_cause = self._leaving_member(group) or (
+            Loss(PhaseCause.SHUT) if reported and leader_closed else None
+        )
+        if closing_cause is not None:
+            group.close_timeout_s = self._state.tuning.close_at_most_s
+            group.enter(GroupPhase.CLOSING, now_s, closing_cause.cause, closing_cause.blamed)
+
+    def _report_is_current(self, leader: EngineRecord, group: GroupRecord) -> bool:
         """Tell whether a leader's report is of the time since its group's phase began."""
         return leader.observed_s > group.since_s + self.report_lag_s(group.service)
 
-    def _step_closing(self, group: GroupRecord, now_s: float) -> None:
+    def _advance_closing(self, group: GroupRecord, now_s: float) -> None:
         leader = self._state.engines.get(group.leader)
-        overdue = now_s - group.since_s > group.close_at_most_s
-        loss = self._unfit(group)
+        overdue = now_s - group.since_s > group.close_timeout_s
+        loss = self._fatal_loss(group)
         if loss is not None:
             group.enter(GroupPhase.DISSOLVING, now_s, loss.cause, loss.blamed)
             return
@@ -210,11 +219,13 @@
             group.enter(GroupPhase.DISSOLVING, now_s, PhaseCause.OVERDUE)
             return
         if leader.membership.phase is MemberPhase.OPEN:
-            self._state.order(leader, Close(group.group, group.epoch), now_s)
-        elif leader.membership.phase is MemberPhase.READY and self._told(leader, group):
+            self._state.issue_order(leader, Close(group.group, group.epoch), now_s)
+        elif leader.membership.phase is MemberPhase.READY and self._report_is_current(
+            leader, group
+        ):
             group.enter(GroupPhase.DISSOLVING, now_s, PhaseCause.ENDED)
 
-    def _step_dissolving(self, group: GroupRecord, now_s: float) -> None:
+    def _advance_dissolving(self, group: GroupRecord, now_s: float) -> None:
         """Release each member when it was seen, after this began, to have left."""
         for instance in group.members:
             record = self._state.engines.get(instance)
@@ -222,20 +233,20 @@
                 group.released.add(instance)
                 continue
             if record.belongs_to(group.group, group.epoch):
-                self._state.order(record, Leave(group.group, group.epoch), now_s)
-                group.told.add(instance)
-            elif record.pending is None and (
-                instance in group.told or record.observed_s > group.since_s
+                self._state.issue_order(record, Leave(group.group, group.epoch), now_s)
+                group.leave_ordered.add(instance)
+            elif record.pending_order is None and (
+                instance in group.leave_ordered or record.observed_s > group.since_s
             ):
                 group.released.add(instance)
         if group.released.issuperset(group.members):
             del self._state.groups[group.group]
 
-    _STEPS: dict[GroupPhase, Callable[["GroupLifecycle", GroupRecord, float], None]] = {
-        GroupPhase.FORMING: _step_forming,
-        GroupPhase.SERVING: _step_serving,
-        GroupPhase.CLOSING: _step_closing,
-        GroupPhase.DISSOLVING: _step_dissolving,
+    _PHASE_HANDLERS: dict[GroupPhase, Callable[["GroupLifecycle", GroupRecord, float], None]] = {
+        GroupPhase.FORMING: _advance_forming,
+        GroupPhase.SERVING: _advance_serving,
+        GroupPhase.CLOSING: _advance_closing,
+        GroupPhase.DISSOLVING: _advance_dissolving,
     }
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/loadlimit.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/loadlimit.py
@@ -8,32 +8,32 @@
 class LoadLimit:
     """Allow so many loads in any window, whatever became of those before."""
 
-    def __init__(self, at_most: int, window_s: float) -> None:
-        self._at_most = max(1, at_most)
+    def __init__(self, max_loads: int, window_s: float) -> None:
+        self._max_loads = max(1, max_loads)
         self._window_s = window_s
         self._begun_s: deque[float] = deque()
 
-    def take(self, now_s: float, loads: int = 1) -> bool:
+    def try_begin(self, now_s: float, loads: int = 1) -> bool:
         """Begin loads, all or none; return whether the bound allows them."""
-        if loads > self.left(now_s):
+        if loads > self.remaining(now_s):
             return False
         self._begun_s.extend([now_s] * loads)
         return True
 
-    def note(self, now_s: float, loads: int = 1) -> None:
+    def record_begun(self, now_s: float, loads: int = 1) -> None:
         """Count loads that begin whatever the bound says."""
         self._begun_s.extend([now_s] * loads)
 
-    def left_within(self, window_s: float, now_s: float) -> int:
+    def remaining_within(self, window_s: float, now_s: float) -> int:
         """Return how many may begin now if only those of a shorter window counted."""
         recent = takewhile(lambda begun_s: begun_s > now_s - window_s, reversed(self._begun_s))
-        return self._at_most - sum(1 for _ in recent)
+        return self._max_loads - sum(1 for _ in recent)
 
-    def left(self, now_s: float) -> int:
+    def remaining(self, now_s: float) -> int:
         """Return how many loads may begin now."""
         while self._begun_s and self._begun_s[0] <= now_s - self._window_s:
             self._begun_s.popleft()
-        return self._at_most - len(self._begun_s)
+        return self._max_loads - len(self._begun_s)
 
 
 __all__ = ["LoadLimit"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/loadworth.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/loadworth.py
@@ -5,18 +5,18 @@
 from dataclasses import dataclass, field
 
 from ochreway_direct.configuration import EngineSpec, ModelSpec
-from ochreway_direct.coordinator.placement import Slot
-from ochreway_direct.coordinator.worth import gain
+from ochreway_direct.coordinator.placement import GroupSlot
+from ochreway_direct.coordinator.worth import marginal_utility
 from ochreway_direct.ids import ModelName
 
-HORIZON_S = 30.0
+LOAD_HORIZON_S = 30.0
 """How far ahead a load is valued: two loads of a large model."""
-BESIDE_SHARE = 0.5
+SERVING_SUBSTITUTE_SHARE = 0.5
 """What an engine that serves counts as a substitute against one that is free."""
 
 
 @dataclass(slots=True)
-class Stock:
+class Inventory:
     """Count what a domain has for a model.
 
     ``missing`` groups are planned and lack weights, ``standing`` ones do not. ``free`` engines
@@ -25,14 +25,14 @@
     """
 
     missing: int = 0
-    standing: int = 0
+    current: int = 0
     free: int = 0
     surplus: int = 0
-    beside: int = 0
+    serving: int = 0
 
 
 @dataclass(slots=True)
-class LoadWorth:
+class LoadUtility:
     """Value loads by the work that they let be served, in groups kept busy times seconds.
 
     A load brings a planned group nearer, and provides a substitute, without which the next loss of
@@ -43,14 +43,14 @@
     scenarios: Sequence[Mapping[ModelName, float]]
     totals: Mapping[ModelName, int]
     losses_per_engine_s: float
-    down: float
-    stocks: dict[Slot, Stock] = field(default_factory=dict)
+    downtime_share: float
+    inventories: dict[GroupSlot, Inventory] = field(default_factory=dict)
 
-    def stock(self, slot: Slot) -> Stock:
+    def inventory(self, slot: GroupSlot) -> Inventory:
         """Return what a place has."""
-        return self.stocks.setdefault(slot, Stock())
+        return self.inventories.setdefault(slot, Inventory())
 
-    def of(self, slot: Slot, is_free: bool, completes: bool) -> float:
+    def of_engine(self, slot: GroupSlot, is_free: bool, completes: bool) -> float:
         """Return the worth of one more able engine.
 
         Args:
@@ -58,53 +58,64 @@
             is_free: whether it serves nothing now.
             completes: whether it could become a member of a group that is planned.
         """
-        stock = self.stock(slot)
-        substitute = self._substitute(slot.model, stock) * (1.0 if is_free else BESIDE_SHARE)
-        return substitute + (self._completion(slot.model, stock) if completes else 0.0)
+        inventory = self.inventory(slot)
+        substitute = self._substitute(slot.model, inventory) * (
+            1.0 if is_free else SERVING_SUBSTITUTE_SHARE
+        )
+        return substitute + (self._completion(slot.model, inventory) if completes else 0.0)
 
-    def of_last(self, slot: Slot) -> float:
+    def of_last_free(self, slot: GroupSlot) -> float:
         """Return the worth of one of the free engines that there are."""
-        stock = self.stock(slot)
-        if stock.free <= 0:
+        inventory = self.inventory(slot)
+        if inventory.free <= 0:
             return 0.0
-        stock.free -= 1
-        worth = self.of(slot, is_free=True, completes=True)
-        stock.free += 1
-        return worth
+        inventory.free -= 1
+        utility = self.of_engine(slot, is_free=True, completes=True)
+        inventory.free += 1
+        return utility
 
-    def breaks_for(self, served: ModelName, other: ModelName) -> bool:
+    def yields_to(self, served: ModelName, other: ModelName) -> bool:
         """Tell whether a group of one model would be given up to replace a lost one of another."""
-        return self._last_per_engine(other) > self._last_per_engine(served)
+        return self._last_group_utility(other) > self._last_group_utility(served)
 
-    def _last_per_engine(self, name: ModelName) -> float:
+    def _last_group_utility(self, name: ModelName) -> float:
         """Return what the last group of a model adds, for each of its engines."""
-        return self._gain(name, self.totals[name] - 1) / self._model(name).size
+        return self._mean_utility(name, self.totals[name] - 1) / self._model(name).size
 
-    def _completion(self, name: ModelName, stock: Stock) -> float:
+    def _completion(self, name: ModelName, inventory: Inventory) -> float:
         size = self._model(name).size
-        able = stock.free + stock.surplus
-        complete = min(stock.missing, able // size)
-        if complete >= stock.missing:
+        joinable = inventory.free + inventory.surplus
+        complete = min(inventory.missing, joinable // size)
+        if complete >= inventory.missing:
             return 0.0
-        return self._gain(name, self.totals[name] + complete) * HORIZON_S / (size - able % size)
+        return (
+            self._mean_utility(name, self.totals[name] + complete)
+            * LOAD_HORIZON_S
+            / (size - joinable % size)
+        )
 
-    def _substitute(self, name: ModelName, stock: Stock) -> float:
+    def _substitute(self, name: ModelName, inventory: Inventory) -> float:
         model = self._model(name)
-        substitutes = stock.free + BESIDE_SHARE * (stock.surplus + stock.beside)
-        losses = self.losses_per_engine_s * HORIZON_S * model.size * stock.standing
-        used = min(1.0, losses / (1.0 + substitutes)) / (1.0 + substitutes)
-        return used * model.load_s * self._gain(name, self.totals[name] - 1)
+        substitutes = inventory.free + SERVING_SUBSTITUTE_SHARE * (
+            inventory.surplus + inventory.serving
+        )
+        losses = self.losses_per_engine_s * LOAD_HORIZON_S * model.size * inventory.current
+        use_probability = min(1.0, losses / (1.0 + substitutes)) / (1.0 + substitutes)
+        return use_probability * model.load_s * self._mean_utility(name, self.totals[name] - 1)
 
     def _model(self, name: ModelName) -> ModelSpec:
         model = self.spec.model(name)
         assert model is not None
         return model
 
-    def _gain(self, name: ModelName, groups: int) -> float:
+    def _mean_utility(self, name: ModelName, groups: int) -> float:
         """Return what one more group adds, on average over what may be asked for."""
         model, groups = self._model(name), max(0, groups)
-        added = [gain(self.spec, model, s[name], groups, self.down) for s in self.scenarios]
-        return sum(added) / len(added)
+        utilities = [
+            marginal_utility(self.spec, model, s[name], groups, self.downtime_share)
+            for s in self.scenarios
+        ]
+        return sum(utilities) / len(utilities)
 
 
-__all__ = ["LoadWorth", "Stock"]
+__all__ = ["LoadUtility", "Inventory"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/lossmeter.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/lossmeter.py
@@ -3,15 +3,15 @@
 
 import math
 
-USUAL_PER_ENGINE_S = 0.004
+TYPICAL_LOSSES_PER_ENGINE_S = 0.004
 """What is assumed before any was seen: one of 81 engines each three seconds, as on heavy days."""
-ASSUMED_LOSSES = 2.0
+PRIOR_LOSSES = 2.0
 """How many losses the assumption counts as much as."""
-MEMORY_S = 60.0
-COUNTED_AT_ONCE = 2
+LOSS_MEMORY_S = 60.0
+MAX_LOSSES_PER_CAUSE = 2
 """How many losses of the same second count: a domain that goes dark is one cause, not thirty."""
-SAME_CAUSE_S = 1.0
-STEP = 1.25
+SAME_CAUSE_WINDOW_S = 1.0
+RATE_STEP_FACTOR = 1.25
 """By which factor the rate moves: each move is a reason to plan anew."""
 
 
@@ -25,35 +25,35 @@
     def __init__(self) -> None:
         self._losses = 0.0
         self._engines_s = 0.0
-        self._stepped_s: float | None = None
-        self._cause_s = -math.inf
-        self._counted = 0
+        self._advanced_s: float | None = None
+        self._cause_since_s = -math.inf
+        self._losses_of_cause = 0
 
-    def step(self, engines: int, now_s: float) -> None:
+    def advance(self, engines: int, now_s: float) -> None:
         """Let time pass with so many engines."""
-        elapsed_s = now_s - self._stepped_s if self._stepped_s is not None else 0.0
-        self._stepped_s = now_s
-        kept = math.exp(-elapsed_s / MEMORY_S)
-        self._losses *= kept
-        self._engines_s = self._engines_s * kept + engines * elapsed_s
+        elapsed_s = now_s - self._advanced_s if self._advanced_s is not None else 0.0
+        self._advanced_s = now_s
+        decay = math.exp(-elapsed_s / LOSS_MEMORY_S)
+        self._losses *= decay
+        self._engines_s = self._engines_s * decay + engines * elapsed_s
 
-    def lost(self, now_s: float) -> None:
+    def record_loss(self, now_s: float) -> None:
         """Count the loss of an engine; before any time was measured none counts."""
-        if self._stepped_s is None:
+        if self._advanced_s is None:
             return
-        if now_s - self._cause_s >= SAME_CAUSE_S:
-            self._cause_s, self._counted = now_s, 0
-        if self._counted < COUNTED_AT_ONCE:
-            self._counted += 1
+        if now_s - self._cause_since_s >= SAME_CAUSE_WINDOW_S:
+            self._cause_since_s, self._losses_of_cause = now_s, 0
+        if self._losses_of_cause < MAX_LOSSES_PER_CAUSE:
+            self._losses_of_cause += 1
             self._losses += 1.0
 
     @property
-    def per_engine_s(self) -> float:
+    def losses_per_engine_s(self) -> float:
         """Return the rate in whole steps around what is usual."""
-        assumed_s = ASSUMED_LOSSES / USUAL_PER_ENGINE_S
-        rate = (ASSUMED_LOSSES + self._losses) / (assumed_s + self._engines_s)
-        steps = round(math.log(rate / USUAL_PER_ENGINE_S, STEP))
-        return USUAL_PER_ENGINE_S * STEP**steps
+        prior_engines_s = PRIOR_LOSSES / TYPICAL_LOSSES_PER_ENGINE_S
+        rate = (PRIOR_LOSSES + self._losses) / (prior_engines_s + self._engines_s)
+        steps = round(math.log(rate / TYPICAL_LOSSES_PER_ENGINE_S, RATE_STEP_FACTOR))
+        return TYPICAL_LOSSES_PER_ENGINE_S * RATE_STEP_FACTOR**steps
 
 
-__all__ = ["USUAL_PER_ENGINE_S", "LossMeter"]
+__all__ = ["TYPICAL_LOSSES_PER_ENGINE_S", "LossMeter"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/missing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/missing.py
@@ -7,12 +7,15 @@
 from ochreway_core.ids import DomainId
 from ochreway_direct.configuration import EngineSpec, ModelSpec
 from ochreway_direct.coordinator.census import Census
-from ochreway_direct.coordinator.placement import Slot, totals_of
+from ochreway_direct.coordinator.placement import GroupSlot, groups_per_model
 
 
-def where_least_lacks(
-    spec: EngineSpec, at_once: Mapping[Slot, int], later: Mapping[Slot, int], census: Census
-) -> Counter[Slot]:
+def place_missing_groups(
+    spec: EngineSpec,
+    formable: Mapping[GroupSlot, int],
+    later: Mapping[GroupSlot, int],
+    census: Census,
+) -> Counter[GroupSlot]:
     """Return the groups that a plan has more than there can be now, where the most weights are.
 
     A plan for engines with any weights spreads groups over domains; a group that has just lost a
@@ -24,38 +27,38 @@
         later: the groups that could be formed with any weights.
         census: the engines that are in no group, or about to be in none.
     """
-    missing = Counter(later) - Counter(at_once)
-    short = totals_of(later)
-    short.subtract(totals_of(at_once))
-    found: Counter[Slot] = Counter()
+    missing = Counter(later) - Counter(formable)
+    shortfall = groups_per_model(later)
+    shortfall.subtract(groups_per_model(formable))
+    placed: Counter[GroupSlot] = Counter()
     for model in sorted(spec.models, key=lambda each: -each.size):
-        able = _able(model, census) if short[model.name] > 0 else {}
-        for _ in range(max(0, short[model.name])):
-            domain = _take_fullest(model, able)
+        joinable = _joinable_per_domain(model, census) if shortfall[model.name] > 0 else {}
+        for _ in range(max(0, shortfall[model.name])):
+            domain = _claim_fullest(model, joinable)
             slots = [slot for slot in missing if slot.model == model.name and missing[slot] > 0]
             if domain is not None:
-                found[Slot(domain, model.name)] += 1
+                placed[GroupSlot(domain, model.name)] += 1
             elif slots:
                 missing[slots[0]] -= 1
-                found[slots[0]] += 1
-    return found
+                placed[slots[0]] += 1
+    return placed
 
 
-def _able(model: ModelSpec, census: Census) -> dict[DomainId, int]:
+def _joinable_per_domain(model: ModelSpec, census: Census) -> dict[DomainId, int]:
     """Count the free engines of each domain that could join a group of a model at once."""
     return {
-        domain: sum(record.quick(model.name) for record in records)
+        domain: sum(record.can_join(model.name) for record in records)
         for domain, records in census.free.items()
     }
 
 
-def _take_fullest(model: ModelSpec, able: dict[DomainId, int]) -> DomainId | None:
+def _claim_fullest(model: ModelSpec, joinable: dict[DomainId, int]) -> DomainId | None:
     """Return the domain that has most engines for one more group, if half of one at least."""
-    best = max(able, key=lambda domain: (able[domain], domain), default=None)
-    if best is None or able[best] < model.size / 2:
+    best = max(joinable, key=lambda domain: (joinable[domain], domain), default=None)
+    if best is None or joinable[best] < model.size / 2:
         return None
-    able[best] -= model.size
+    joinable[best] -= model.size
     return best
 
 
-__all__ = ["where_least_lacks"]
+__all__ = ["place_missing_groups"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/placement.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/placement.py
@@ -8,12 +8,12 @@
 
 from ochreway_core.ids import DomainId
 from ochreway_direct.configuration import ModelSpec
-from ochreway_direct.coordinator.room import Room
+from ochreway_direct.coordinator.capacity import Capacity
 from ochreway_direct.ids import ModelName
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Slot:
+class GroupSlot:
     """Name a place for a group: a domain and a model."""
 
     domain: DomainId
@@ -33,19 +33,19 @@
 
     def __init__(
         self,
-        rooms: Mapping[DomainId, Room],
-        standing: Mapping[Slot, int],
+        capacities: Mapping[DomainId, Capacity],
+        current: Mapping[GroupSlot, int],
         models: Iterable[ModelSpec] = (),
-        placed: Mapping[Slot, int] | None = None,
+        placed: Mapping[GroupSlot, int] | None = None,
     ) -> None:
         """Begin with the groups of some models that are placed already, if there are any."""
-        self.rooms = rooms
-        self.standing = standing
-        self.placed: Counter[Slot] = Counter()
-        self._left = {domain: room.total for domain, room in rooms.items()}
+        self.capacities = capacities
+        self.current = current
+        self.placed: Counter[GroupSlot] = Counter()
+        self._remaining = {domain: room.total for domain, room in capacities.items()}
         self._members: dict[DomainId, Counter[ModelName]] = defaultdict(Counter)
-        self._order = {domain: n for n, domain in enumerate(sorted(rooms, reverse=True))}
-        self._queues: dict[ModelName, list[tuple[Preference, Slot]]] = {}
+        self._order = {domain: n for n, domain in enumerate(sorted(capacities, reverse=True))}
+        self._queues: dict[ModelName, list[tuple[Preference, GroupSlot]]] = {}
         named = {model.name: model for model in models}
         for slot, number in (placed or {}).items():
             self._place(slot, named[slot.model], number)
@@ -58,7 +58,7 @@
         """
         queue = self._queues.get(model.name)
         if queue is None:
-            slots = [Slot(domain, model.name) for domain in self.rooms]
+            slots = [GroupSlot(domain, model.name) for domain in self.capacities]
             queue = self._queues[model.name] = [(self._preference(slot), slot) for slot in slots]
             heapify(queue)
         while queue:
@@ -66,36 +66,36 @@
             preference = self._preference(slot)
             if preference != known:
                 heapreplace(queue, (preference, slot))
-            elif self._holds(slot, model):
+            elif self._fits(slot, model):
                 self._place(slot, model)
                 return True
             else:
                 heappop(queue)
         return False
 
-    def _holds(self, slot: Slot, model: ModelSpec) -> bool:
+    def _fits(self, slot: GroupSlot, model: ModelSpec) -> bool:
         members = Counter(self._members[slot.domain])
         members[model.name] += model.size
-        return self.rooms[slot.domain].holds(members)
+        return self.capacities[slot.domain].fits(members)
 
-    def _place(self, slot: Slot, model: ModelSpec, number: int = 1) -> None:
+    def _place(self, slot: GroupSlot, model: ModelSpec, number: int = 1) -> None:
         self.placed[slot] += number
-        self._left[slot.domain] -= model.size * number
+        self._remaining[slot.domain] -= model.size * number
         self._members[slot.domain][model.name] += model.size * number
 
-    def _preference(self, slot: Slot) -> Preference:
+    def _preference(self, slot: GroupSlot) -> Preference:
         """Return a key that is the least for the place to take first."""
         placed = self.placed[slot]
-        falls = placed >= self.standing.get(slot, 0)
-        return falls, placed, -self._left[slot.domain], self._order[slot.domain]
+        is_new = placed >= self.current.get(slot, 0)
+        return is_new, placed, -self._remaining[slot.domain], self._order[slot.domain]
 
 
-def totals_of(groups: Mapping[Slot, int]) -> Counter[ModelName]:
+def groups_per_model(groups: Mapping[GroupSlot, int]) -> Counter[ModelName]:
     """Return how many groups of each model there are."""
-    found: Counter[ModelName] = Counter()
+    totals: Counter[ModelName] = Counter()
     for slot, number in groups.items():
-        found[slot.model] += number
-    return found
+        totals[slot.model] += number
+    return totals
 
 
-__all__ = ["Placement", "Slot", "totals_of"]
+__all__ = ["Placement", "GroupSlot", "groups_per_model"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/planner.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/planner.py
@@ -7,15 +7,15 @@
 
 from ochreway_core.ids import DomainId
 from ochreway_direct.configuration import EngineSpec
+from ochreway_direct.coordinator.capacity import Capacity
 from ochreway_direct.coordinator.layout import plan
-from ochreway_direct.coordinator.placement import Slot
-from ochreway_direct.coordinator.room import Room
+from ochreway_direct.coordinator.placement import GroupSlot
 from ochreway_direct.coordinator.tuning import CoordinatorTuning
 from ochreway_direct.ids import ModelName
 
-NEED_STEP = 0.1
+DEMAND_STEP = 0.1
 """By how many groups' work the need of a model has to change before a plan is made anew."""
-NEED_STEP_SHARE = 0.05
+DEMAND_STEP_SHARE = 0.05
 """The same as a share of the need, where that is more: large sites would plan all the time."""
 
 
@@ -23,10 +23,10 @@
 class _Inputs:
     spec: EngineSpec
     scenarios: tuple[Mapping[ModelName, float], ...]
-    rooms: Mapping[DomainId, Room]
-    standing: Mapping[Slot, int]
-    down: float
-    least_gain: float
+    capacities: Mapping[DomainId, Capacity]
+    current: Mapping[GroupSlot, int]
+    downtime_share: float
+    min_utility: float
 
 
 class Planner:
@@ -35,37 +35,46 @@
     def __init__(self, tuning: CoordinatorTuning) -> None:
         self._tuning = tuning
         self._inputs: _Inputs | None = None
-        self._plan: Counter[Slot] = Counter()
+        self._plan: Counter[GroupSlot] = Counter()
 
     def plan(
         self,
         spec: EngineSpec,
         scenarios: Sequence[Mapping[ModelName, float]],
-        rooms: Mapping[DomainId, Room],
-        standing: Mapping[Slot, int],
-        down: float,
-        least_gain: float,
-    ) -> Counter[Slot]:
+        capacities: Mapping[DomainId, Capacity],
+        current: Mapping[GroupSlot, int],
+        downtime_share: float,
+        min_utility: float,
+    ) -> Counter[GroupSlot]:
         """Return the number of groups for each place."""
-        rounded = tuple(self._rounded(n, needs) for n, needs in enumerate(scenarios))
-        inputs = _Inputs(spec, rounded, rooms, standing, down, least_gain)
+        rounded = tuple(
+            self._rounded_scenario(n, model_demand) for n, model_demand in enumerate(scenarios)
+        )
+        inputs = _Inputs(spec, rounded, capacities, current, downtime_share, min_utility)
         if inputs != self._inputs:
             self._inputs = inputs
-            self._plan = plan(spec, rounded, rooms, standing, down, self._tuning, least_gain)
+            self._plan = plan(
+                spec, rounded, capacities, current, downtime_share, self._tuning, min_utility
+            )
         return self._plan
 
-    def _rounded(self, number: int, needs: Mapping[ModelName, float]) -> dict[ModelName, float]:
+    def _rounded_scenario(
+        self, number: int, model_demand: Mapping[ModelName, float]
+    ) -> dict[ModelName, float]:
         """Return a scenario's needs in whole steps, or those planned for that differ little."""
         before = self._inputs.scenarios if self._inputs is not None else ()
         known = before[number] if number < len(before) else {}
-        return {model: _step(need, known.get(model, 0.0)) for model, need in needs.items()}
+        return {
+            model: _rounded_demand(demand, known.get(model, 0.0))
+            for model, demand in model_demand.items()
+        }
 
 
-def _step(need: float, planned: float) -> float:
+def _rounded_demand(demand: float, planned: float) -> float:
     """Return a need in whole steps, or the one planned for while it differs little."""
-    if planned and abs(need - planned) <= max(NEED_STEP / 2, NEED_STEP_SHARE * need):
+    if planned and abs(demand - planned) <= max(DEMAND_STEP / 2, DEMAND_STEP_SHARE * demand):
         return planned
-    return max(NEED_STEP, round(need / NEED_STEP) * NEED_STEP)
+    return max(DEMAND_STEP, round(demand / DEMAND_STEP) * DEMAND_STEP)
 
 
 __all__ = ["Planner"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/probing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/probing.py
@@ -34,7 +34,7 @@
     """Its hall is drained, and nothing may be done there."""
 
 
-PROBES_SAVED_S = 0.5
+PROBE_BURST_S = 0.5
 """How much of the rate may be saved up, as engines are asked in bursts."""
 
 
@@ -61,7 +61,7 @@
     cause: ProbeCause
 
 
-URGENT = frozenset(
+URGENT_CAUSES = frozenset(
     {ProbeCause.SUSPECTED, ProbeCause.UNSETTLED, ProbeCause.NEWS, ProbeCause.CHANGING}
 )
 """What comes first while more are due than may be asked."""
@@ -70,69 +70,73 @@
 class Probing:
     """Ask each engine as often as its cause needs, and all together at a bounded rate."""
 
-    def __init__(self, state: CoordinatorState, heard: Callable[[GroupId], bool]) -> None:
+    def __init__(self, state: CoordinatorState, is_answering: Callable[[GroupId], bool]) -> None:
         """Start with the engines and groups; ``heard`` tells whether a group answers entries."""
         self._state = state
-        self.heard = heard
-        self._periods_s = _periods_s(state.tuning)
-        self._allowed = 0.0
-        self._allowed_s: float | None = None
+        self.is_answering = is_answering
+        self._probe_intervals_s = _periods_s(state.tuning)
+        self._budget = 0.0
+        self._budget_updated_s: float | None = None
 
     def due(self, now_s: float) -> list[Probe]:
         """Return the engines to ask now, which are then taken to be asked."""
         causes: dict[InstanceId, ProbeCause] = {}
         for group in self._state.groups.values():
-            causes.update(self._of_members(group, now_s))
-        found = []
+            causes.update(self._member_causes(group, now_s))
+        due_now = []
         for record in self._state.engines.values():
-            if record.probing:
+            if record.probe_pending:
                 continue
-            cause = self._of(record, now_s) or causes.get(record.instance, ProbeCause.FREE)
-            if now_s - record.probed_s >= self._periods_s[cause]:
-                found.append(Probe(record, cause))
-        chosen = self._within_rate(found, now_s)
+            cause = self._own_cause(record, now_s) or causes.get(record.instance, ProbeCause.FREE)
+            if now_s - record.probed_s >= self._probe_intervals_s[cause]:
+                due_now.append(Probe(record, cause))
+        chosen = self._within_rate(due_now, now_s)
         for probe in chosen:
-            probe.record.probing = True
+            probe.record.probe_pending = True
             probe.record.probed_s = now_s
         return chosen
 
     def _within_rate(self, due: list[Probe], now_s: float) -> list[Probe]:
         """Return what may be asked now: the urgent first, then those not asked for longest."""
         rate = self._state.tuning.probes_per_s
-        since_s = now_s - self._allowed_s if self._allowed_s is not None else PROBES_SAVED_S
-        self._allowed = min(rate * PROBES_SAVED_S, self._allowed + rate * since_s)
-        self._allowed_s = now_s
-        if len(due) > self._allowed:
-            due.sort(key=lambda probe: (probe.cause not in URGENT, probe.record.probed_s))
-            due = due[: int(self._allowed)]
-        self._allowed -= len(due)
+        since_s = (
+            now_s - self._budget_updated_s if self._budget_updated_s is not None else PROBE_BURST_S
+        )
+        self._budget = min(rate * PROBE_BURST_S, self._budget + rate * since_s)
+        self._budget_updated_s = now_s
+        if len(due) > self._budget:
+            due.sort(key=lambda probe: (probe.cause not in URGENT_CAUSES, probe.record.probed_s))
+            due = due[: int(self._budget)]
+        self._budget -= len(due)
         return due
 
-    def _of(self, record: EngineRecord, now_s: float) -> ProbeCause | None:
+    def _own_cause(self, record: EngineRecord, now_s: float) -> ProbeCause | None:
         """Return why an engine is asked for its own sake, if it is."""
         if record.dead:
-            return ProbeCause.DRAINED if self._state.drains(record) else ProbeCause.DEAD
+            return ProbeCause.DRAINED if self._state.is_drained(record) else ProbeCause.DEAD
         if record.suspected:
             return ProbeCause.SUSPECTED
         if record.misses or record.observed_s < 0:
             return ProbeCause.UNSETTLED
-        if self._state.drains(record):
+        if self._state.is_drained(record):
             return ProbeCause.DRAINED
-        if record.has_news(now_s):
+        if record.has_unreported_change(now_s):
             return ProbeCause.NEWS
-        if record.staging and not self._asked:
+        if record.staging and not self._request_seen:
             return ProbeCause.STAGING
         return None
 
     @property
-    def _asked(self) -> bool:
+    def _request_seen(self) -> bool:
         """Tell whether any request has come; before, a loss harms nobody."""
         return self._state.demand.measured_since_s is not None
 
-    def _of_members(self, group: GroupRecord, now_s: float) -> dict[InstanceId, ProbeCause]:
+    def _member_causes(self, group: GroupRecord, now_s: float) -> dict[InstanceId, ProbeCause]:
         if group.phase is GroupPhase.SERVING:
-            heard = self.heard(group.group) or not self._asked
-            return dict.fromkeys(group.members, ProbeCause.HEARD if heard else ProbeCause.IDLE)
+            silence_noticed = self.is_answering(group.group) or not self._request_seen
+            return dict.fromkeys(
+                group.members, ProbeCause.HEARD if silence_noticed else ProbeCause.IDLE
+            )
         settled = group.ready if group.phase is GroupPhase.FORMING else group.released
         return {
             each: ProbeCause.IDLE
@@ -143,7 +147,7 @@
 
     def _change_due(self, instance: InstanceId, now_s: float) -> bool:
         record = self._state.engines.get(instance)
-        return record is not None and now_s >= record.change_due_s
+        return record is not None and now_s >= record.change_expected_s
 
 
 __all__ = ["Probe", "ProbeCause", "Probing"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/heldback.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/reservation.py
@@ -7,22 +7,22 @@
 from ochreway_core.ids import InstanceId
 from ochreway_direct.configuration import EngineSpec, ModelSpec
 from ochreway_direct.coordinator.census import Census
-from ochreway_direct.coordinator.placement import Slot, totals_of
-from ochreway_direct.coordinator.worth import gain
+from ochreway_direct.coordinator.placement import GroupSlot, groups_per_model
+from ochreway_direct.coordinator.worth import marginal_utility
 from ochreway_direct.ids import ModelName
 
-LACKING_SHARE = 0.5
+MAX_LACKING_SHARE = 0.5
 """Up to which share of its engines a group may lack for the others to be held back for it."""
 
 
-def held_back(
+def reserved_engines(
     spec: EngineSpec,
-    needs: Mapping[ModelName, float],
-    at_once: Mapping[Slot, int],
-    missing: Mapping[Slot, int],
+    model_demand: Mapping[ModelName, float],
+    formable: Mapping[GroupSlot, int],
+    missing: Mapping[GroupSlot, int],
     census: Census,
-    down: float,
-) -> dict[Slot, set[InstanceId]]:
+    downtime_share: float,
+) -> dict[GroupSlot, set[InstanceId]]:
     """Return the engines that new groups of each place must not use up.
 
     A group that lacks a few engines is completed by as many loads. Were the others taken for a
@@ -38,23 +38,29 @@
         census: the engines that are free.
         down: the share of the time for which one engine's loss takes its group down.
     """
-    totals = totals_of(at_once)
+    totals = groups_per_model(formable)
 
-    def added(model: ModelSpec, groups: int) -> float:
-        return gain(spec, model, needs[model.name], max(0, groups), down) / model.size
+    def utility_per_engine(model: ModelSpec, groups: int) -> float:
+        return (
+            marginal_utility(spec, model, model_demand[model.name], max(0, groups), downtime_share)
+            / model.size
+        )
 
-    found: dict[Slot, set[InstanceId]] = defaultdict(set)
+    reserved: dict[GroupSlot, set[InstanceId]] = defaultdict(set)
     for slot in missing:
         model = spec.model(slot.model)
         assert model is not None
-        able = [r for r in census.free[slot.domain] if r.quick(slot.model)]
-        if model.size - len(able) > model.size * LACKING_SHARE:
+        joinable = [r for r in census.free[slot.domain] if r.can_join(slot.model)]
+        if model.size - len(joinable) > model.size * MAX_LACKING_SHARE:
             continue
-        next_added = added(model, totals[model.name])
+        next_utility = utility_per_engine(model, totals[model.name])
         for other in spec.models:
-            if other is not model and added(other, totals[other.name] - 1) < next_added:
-                found[Slot(slot.domain, other.name)].update(r.instance for r in able)
-    return found
+            if (
+                other is not model
+                and utility_per_engine(other, totals[other.name] - 1) < next_utility
+            ):
+                reserved[GroupSlot(slot.domain, other.name)].update(r.instance for r in joinable)
+    return reserved
 
 
-__all__ = ["held_back"]
+__all__ = ["reserved_engines"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/shares.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/shares.py
@@ -16,10 +16,10 @@
     and each has an equal part.
     """
     weights = {model.name: _weight(model) for model in spec.models}
-    whole = sum(weights.values())
-    if whole <= 0:
+    total = sum(weights.values())
+    if total <= 0:
         return {name: 1.0 / len(weights) for name in weights}
-    return {name: weight / whole for name, weight in weights.items()}
+    return {name: weight / total for name, weight in weights.items()}
 
 
 def _weight(model: ModelSpec) -> float:
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/staging.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/staging.py
@@ -10,15 +10,15 @@
 from ochreway_direct.coordinator.enginerecord import EngineRecord
 from ochreway_direct.coordinator.formation import Outlook
 from ochreway_direct.coordinator.grouprecord import GroupPhase
-from ochreway_direct.coordinator.loadworth import LoadWorth, Stock
-from ochreway_direct.coordinator.placement import Slot, totals_of
-from ochreway_direct.coordinator.state import STANDING, CoordinatorState
+from ochreway_direct.coordinator.loadworth import Inventory, LoadUtility
+from ochreway_direct.coordinator.placement import GroupSlot, groups_per_model
+from ochreway_direct.coordinator.state import CURRENT_PHASES, CoordinatorState
 from ochreway_direct.ids import ServiceName
 from ochreway_direct.order import Stage
 
-LEAST_WORTH = 0.02
+MIN_LOAD_UTILITY = 0.02
 """Below which worth, in groups kept busy times seconds, a load is not begun."""
-HEDGE_WORTH = 0.001
+HEDGE_UTILITY = 0.001
 """What weights beside a group are worth while it is not known which model will be asked for."""
 
 
@@ -28,173 +28,185 @@
     def __init__(self, state: CoordinatorState) -> None:
         self._state = state
 
-    def step(self, service: ServiceName, spec: EngineSpec, outlook: Outlook, now_s: float) -> None:
+    def order_loads(
+        self, service: ServiceName, spec: EngineSpec, outlook: Outlook, now_s: float
+    ) -> None:
         """Order as many loads as the bound on loads allows."""
         allowed = self._state.loads_allowed(service, self._state.tuning.loading_share, now_s)
         if allowed <= 0:
             return
         uses = self._uses(service, outlook)
-        worth = self._worth(service, spec, outlook, uses)
-        open_ = [
+        utility = self._load_utility(service, spec, outlook, uses)
+        loadable = [
             record
             for record in self._records(uses)
-            if self._free_to_load(record, now_s) and not _awaited(record, outlook)
+            if self._is_loadable(record, now_s) and not _is_awaited(record, outlook)
         ]
 
-        def alike(record: EngineRecord) -> Hashable:
-            able = tuple(record.quick(model.name) for model in spec.models)
-            return uses[record.instance], able, record.state.staged, record.state.model
+        def kind_of(record: EngineRecord) -> Hashable:
+            joinable = tuple(record.can_join(model.name) for model in spec.models)
+            return uses[record.instance], joinable, record.state.staged, record.state.model
 
-        candidates = Candidates(open_, alike, lambda some: self._best(spec, worth, some, uses))
-        while allowed > 0 and (load := candidates.first()) is not None:
-            if not self._load(service, load, now_s):
+        candidates = Candidates(
+            loadable, kind_of, lambda some: self._best_load(spec, utility, some, uses)
+        )
+        while allowed > 0 and (load := candidates.peek()) is not None:
+            if not self._begin_load(service, load, now_s):
                 return
-            self._count(worth, load)
-            candidates.begun(load)
+            self._account_for(utility, load)
+            candidates.mark_begun(load)
             allowed -= 1
 
     def _records(self, uses: Mapping[InstanceId, Use]) -> list[EngineRecord]:
         return [self._state.engines[instance] for instance in uses]
 
-    def _free_to_load(self, record: EngineRecord, now_s: float) -> bool:
-        if record.loading or record.pending is not None or not record.usable:
+    def _is_loadable(self, record: EngineRecord, now_s: float) -> bool:
+        if record.loading or record.pending_order is not None or not record.usable:
             return False
-        return now_s - record.ordered_s >= self._state.tuning.order_retry_s
+        return now_s - record.last_ordered_s >= self._state.tuning.order_retry_s
 
     # What there is.
 
     def _uses(self, service: ServiceName, outlook: Outlook) -> dict[InstanceId, Use]:
-        found: dict[InstanceId, Use] = {}
+        use_by_instance: dict[InstanceId, Use] = {}
         for records in (*outlook.free.values(), *outlook.survivors.values()):
-            found.update({record.instance: _free_use(record) for record in records})
+            use_by_instance.update({record.instance: _use_of_free(record) for record in records})
         surplus = self._surplus(service, outlook.wanted)
-        for group in self._state.of_service(service):
-            if group.phase not in STANDING:
+        for group in self._state.groups_of(service):
+            if group.phase not in CURRENT_PHASES:
                 continue
-            place = Slot(group.domain, group.model)
-            too_many = surplus[place] > 0 and group.phase is GroupPhase.SERVING
-            surplus[place] -= too_many
+            group_slot = GroupSlot(group.domain, group.model)
+            too_many = surplus[group_slot] > 0 and group.phase is GroupPhase.SERVING
+            surplus[group_slot] -= too_many
             use = Use.SURPLUS if too_many else Use.SERVING
-            found.update({each: use for each in group.members if each in self._state.engines})
-        return found
+            use_by_instance.update(
+                {each: use for each in group.members if each in self._state.engines}
+            )
+        return use_by_instance
 
-    def _surplus(self, service: ServiceName, wanted: Mapping[Slot, int]) -> Counter[Slot]:
-        surplus = self._standing(service)
+    def _surplus(self, service: ServiceName, wanted: Mapping[GroupSlot, int]) -> Counter[GroupSlot]:
+        surplus = self._current(service)
         surplus.subtract(wanted)
         return surplus
 
-    def _standing(self, service: ServiceName) -> Counter[Slot]:
+    def _current(self, service: ServiceName) -> Counter[GroupSlot]:
         return Counter(
-            Slot(group.domain, group.model)
-            for group in self._state.of_service(service)
-            if group.phase in STANDING
+            GroupSlot(group.domain, group.model)
+            for group in self._state.groups_of(service)
+            if group.phase in CURRENT_PHASES
         )
 
-    def _worth(
+    def _load_utility(
         self,
         service: ServiceName,
         spec: EngineSpec,
         outlook: Outlook,
         uses: Mapping[InstanceId, Use],
-    ) -> LoadWorth:
-        standing = outlook.at_once
-        stocks: dict[Slot, Stock] = defaultdict(Stock)
-        for slot, number in standing.items():
-            stocks[slot].standing = number
+    ) -> LoadUtility:
+        formable_now = outlook.formable
+        inventories: dict[GroupSlot, Inventory] = defaultdict(Inventory)
+        for slot, number in formable_now.items():
+            inventories[slot].current = number
         for slot, number in outlook.missing.items():
-            stocks[slot].missing = number
+            inventories[slot].missing = number
         for record in self._records(uses):
             for model in spec.models:
-                stock = stocks[Slot(record.domain, model.name)]
-                self._add(stock, record, model, uses[record.instance])
-        totals = totals_of(standing)
-        rate, down = self._state.losses.per_engine_s, self._state.down
-        return LoadWorth(spec, outlook.scenarios, totals, rate, down, stocks)
-
-    def _add(self, stock: Stock, record: EngineRecord, model: ModelSpec, use: Use) -> None:
-        able = record.quick(model.name) or record.staging == model.name
-        if not able or (record.membership is not None and record.state.model == model.name):
+                inventory = inventories[GroupSlot(record.domain, model.name)]
+                self._count_engine(inventory, record, model, uses[record.instance])
+        totals = groups_per_model(formable_now)
+        rate, down = self._state.loss_meter.losses_per_engine_s, self._state.downtime_share
+        return LoadUtility(spec, outlook.scenarios, totals, rate, down, inventories)
+
+    def _count_engine(
+        self, inventory: Inventory, record: EngineRecord, model: ModelSpec, use: Use
+    ) -> None:
+        available = record.can_join(model.name) or record.staging == model.name
+        if not available or (record.membership is not None and record.state.model == model.name):
             return
-        _note(stock, use, 1)
+        _count_engines(inventory, use, 1)
 
     # What is loaded.
 
-    def _best(
+    def _best_load(
         self,
         spec: EngineSpec,
-        worth: LoadWorth,
+        utility: LoadUtility,
         records: Iterable[EngineRecord],
         uses: Mapping[InstanceId, Use],
     ) -> Load | None:
-        found = [
+        loads = [
             candidate
             for record in records
             for model in spec.models
-            if (candidate := self._candidate(worth, record, model, uses[record.instance]))
+            if (candidate := self._candidate(utility, record, model, uses[record.instance]))
         ]
-        best = min(found, key=lambda each: each.rank, default=None)
-        least = LEAST_WORTH if self._state.demand.measured else 0.0
-        return best if best is not None and best.worth > least else None
+        best = min(loads, key=lambda each: each.rank, default=None)
+        threshold = MIN_LOAD_UTILITY if self._state.demand.measured else 0.0
+        return best if best is not None and best.utility > threshold else None
 
     def _candidate(
-        self, worth: LoadWorth, record: EngineRecord, model: ModelSpec, use: Use
+        self, utility: LoadUtility, record: EngineRecord, model: ModelSpec, use: Use
     ) -> Load | None:
-        if record.quick(model.name) or record.state.model == model.name:
+        if record.can_join(model.name) or record.state.model == model.name:
             return None
-        if use is Use.SERVING and not self._beside(worth, record, model):
+        if use is Use.SERVING and not self._may_load_beside(utility, record, model):
             return None
-        slot = Slot(record.domain, model.name)
+        slot = GroupSlot(record.domain, model.name)
         is_free = use not in (Use.SERVING, Use.SURPLUS)
-        value = worth.of(slot, is_free, completes=use is not Use.SERVING)
+        load_utility = utility.of_engine(slot, is_free, completes=use is not Use.SERVING)
         if use is Use.SERVING and not self._state.demand.measured:
-            value = max(value, HEDGE_WORTH)
-        if use is Use.STOCKED:
-            value -= sum(worth.of_last(Slot(record.domain, m)) for m in record.state.staged)
-        return Load(record, model, use, value)
-
-    def _beside(self, worth: LoadWorth, record: EngineRecord, model: ModelSpec) -> bool:
+            load_utility = max(load_utility, HEDGE_UTILITY)
+        if use is Use.HAS_STAGED:
+            load_utility -= sum(
+                utility.of_last_free(GroupSlot(record.domain, m)) for m in record.state.staged
+            )
+        return Load(record, model, use, load_utility)
+
+    def _may_load_beside(
+        self, utility: LoadUtility, record: EngineRecord, model: ModelSpec
+    ) -> bool:
         """Tell whether weights may be loaded beside those of a group that is wanted.
 
         They push out the copy that an engine would start again with. While nothing was measured,
         the smaller model's are loaded beside the larger one's: should the work turn out to be for
         the smaller, each engine counts twice as much as it would the other way round.
         """
-        served = worth.spec.model(record.state.model) if record.state.model else None
+        served = utility.spec.model(record.state.model) if record.state.model else None
         if served is None or not self._state.tuning.staging_beside:
             return False
         if not self._state.demand.measured:
             return model.size < served.size
-        return worth.breaks_for(served.name, model.name)
+        return utility.yields_to(served.name, model.name)
 
-    def _count(self, worth: LoadWorth, load: Load) -> None:
+    def _account_for(self, utility: LoadUtility, load: Load) -> None:
         """Take a load that was begun into account for the next one."""
         domain = load.record.domain
-        _note(worth.stock(Slot(domain, load.model.name)), load.use, 1)
-        if load.use is Use.STOCKED:
+        _count_engines(utility.inventory(GroupSlot(domain, load.model.name)), load.use, 1)
+        if load.use is Use.HAS_STAGED:
             for lost in load.record.state.staged:
-                _note(worth.stock(Slot(domain, lost)), load.use, -1)
+                _count_engines(utility.inventory(GroupSlot(domain, lost)), load.use, -1)
 
-    def _load(self, service: ServiceName, load: Load, now_s: float) -> bool:
+    def _begin_load(self, service: ServiceName, load: Load, now_s: float) -> bool:
         if not self._state.begin_loads(service, 1, now_s):
             return False
-        if not self._state.order(load.record, Stage(load.model.name), now_s):
+        if not self._state.issue_order(load.record, Stage(load.model.name), now_s):
             return False
-        load.record.stage(load.model.name, now_s + 2 * load.model.load_s)
+        load.record.begin_staging(load.model.name, now_s + 2 * load.model.load_s)
         return True
 
 
-def _note(stock: Stock, use: Use, number: int) -> None:
+def _count_engines(inventory: Inventory, use: Use, number: int) -> None:
     """Count engines by what they are doing."""
     match use:
         case Use.SERVING:
-            stock.beside += number
+            inventory.serving += number
         case Use.SURPLUS:
-            stock.surplus += number
+            inventory.surplus += number
         case _:
-            stock.free += number
+            inventory.free += number
 
 
-def _awaited(record: EngineRecord, outlook: Outlook) -> bool:
+def _is_awaited(record: EngineRecord, outlook: Outlook) -> bool:
     """Tell whether a group that comes next may need the engine with the weights it has."""
     return record.membership is None and any(
         slot.domain == record.domain and slot.model in record.state.staged
@@ -202,10 +214,10 @@
     )
 
 
-def _free_use(record: EngineRecord) -> Use:
+def _use_of_free(record: EngineRecord) -> Use:
     if record.last_model is not None:
-        return Use.KEEPING
-    return Use.STOCKED if record.state.staged else Use.EMPTY
+        return Use.KEEPS_LAST_MODEL
+    return Use.HAS_STAGED if record.state.staged else Use.EMPTY
 
 
 __all__ = ["Staging"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/state.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/state.py
@@ -16,9 +16,9 @@
 from ochreway_direct.ids import ServiceName
 from ochreway_direct.order import Order
 
-FIRST_REQUEST_TOLD_S = 0.5
+MAX_REQUEST_NOTICE_DELAY_S = 0.5
 """How late the first request of another entry may be known: a heartbeat and some delay."""
-STANDING = frozenset({GroupPhase.FORMING, GroupPhase.SERVING})
+CURRENT_PHASES = frozenset({GroupPhase.FORMING, GroupPhase.SERVING})
 
 
 @dataclass(slots=True)
@@ -34,21 +34,21 @@
     engines: dict[InstanceId, EngineRecord] = field(default_factory=dict)
     groups: dict[GroupId, GroupRecord] = field(default_factory=dict)
     specs: dict[ServiceName, EngineSpec] = field(default_factory=dict)
-    limits: dict[ServiceName, LoadLimit] = field(default_factory=dict)
+    load_limits: dict[ServiceName, LoadLimit] = field(default_factory=dict)
     demand: Demand = field(default_factory=Demand)
-    losses: LossMeter = field(default_factory=LossMeter)
-    loads_seen: bool = False
-    draining: frozenset[HallId] = frozenset()
+    loss_meter: LossMeter = field(default_factory=LossMeter)
+    inherited_loads_seen: bool = False
+    drained_halls: frozenset[HallId] = frozenset()
     epoch: Epoch = NO_EPOCH
-    out: list[Assignment] = field(default_factory=list)
+    assignments: list[Assignment] = field(default_factory=list)
 
     @property
-    def down(self) -> float:
+    def downtime_share(self) -> float:
         """Return the share of the time for which one engine's loss takes its group down."""
-        return self.losses.per_engine_s * self.tuning.repair_s
+        return self.loss_meter.losses_per_engine_s * self.tuning.repair_s
 
     @property
-    def least_gain(self) -> float:
+    def min_utility(self) -> float:
         """Return what a further group has to add for each of its engines to be planned.
 
         Until requests were seen no engine stays idle while a group more may serve some.
@@ -81,41 +81,41 @@
             expected_s=expected_s,
         )
 
-    def order(self, record: EngineRecord, order: Order, now_s: float) -> bool:
+    def issue_order(self, record: EngineRecord, order: Order, now_s: float) -> bool:
         """Give an order unless one is under way or the same was given just now.
 
         An engine of a hall that is drained gets none.
         """
-        if self.drains(record):
+        if self.is_drained(record):
             return False
-        wait_s = self._repeat_after_s(record)
-        again = order == record.ordered and now_s - record.ordered_s < wait_s
-        if record.pending is not None or again:
+        retry_delay_s = self._order_retry_delay_s(record)
+        repeated = order == record.last_order and now_s - record.last_ordered_s < retry_delay_s
+        if record.pending_order is not None or repeated:
             return False
-        record.pending = record.ordered = order
-        record.ordered_s = now_s
-        self.out.append(Assignment(record.instance, record.listed.address, order))
+        record.pending_order = record.last_order = order
+        record.last_ordered_s = now_s
+        self.assignments.append(Assignment(record.instance, record.listed.address, order))
         return True
 
-    def _repeat_after_s(self, record: EngineRecord) -> float:
+    def _order_retry_delay_s(self, record: EngineRecord) -> float:
         """Return how soon an engine's last order may be given again."""
-        if not record.taken:
+        if not record.order_accepted:
             return self.tuning.order_retry_s
-        unseen = record.observed_s <= record.ordered_s
+        unseen = record.observed_s <= record.last_ordered_s
         return self.tuning.order_unseen_retry_s if unseen else self.tuning.order_taken_retry_s
 
-    def drains(self, record: EngineRecord) -> bool:
+    def is_drained(self, record: EngineRecord) -> bool:
         """Tell whether an engine is in a hall that is drained."""
-        return record.listed.hall in self.draining
+        return record.listed.hall in self.drained_halls
 
-    def drains_group(self, group: GroupRecord) -> bool:
+    def touches_drained_hall(self, group: GroupRecord) -> bool:
         """Tell whether any member of a group is in a hall that is drained."""
-        if not self.draining:
+        if not self.drained_halls:
             return False
         records = (self.engines.get(instance) for instance in group.members)
-        return any(record is not None and self.drains(record) for record in records)
+        return any(record is not None and self.is_drained(record) for record in records)
 
-    def held(self) -> set[InstanceId]:
+    def unreleased_members(self) -> set[InstanceId]:
         """Return the engines that some group has not released."""
         return {
             instance
@@ -124,33 +124,33 @@
             if instance not in group.released
         }
 
-    def of_service(self, service: ServiceName) -> Iterable[GroupRecord]:
+    def groups_of(self, service: ServiceName) -> Iterable[GroupRecord]:
         """Return the groups of a service that need no hall that is drained."""
         return [
             group
             for group in self.groups.values()
-            if group.service == service and not self.drains_group(group)
+            if group.service == service and not self.touches_drained_hall(group)
         ]
 
-    def closing(self, domain: DomainId) -> bool:
+    def has_closing_group(self, domain: DomainId) -> bool:
         """Tell whether a group of a domain is being closed."""
         return any(
-            group.phase is GroupPhase.CLOSING and domain in self._domains(group)
+            group.phase is GroupPhase.CLOSING and domain in self._group_domains(group)
             for group in self.groups.values()
         )
 
-    def _domains(self, group: GroupRecord) -> set[DomainId]:
+    def _group_domains(self, group: GroupRecord) -> set[DomainId]:
         return {self.engines[each].domain for each in group.members if each in self.engines}
 
-    def time_to_end_s(self, group: GroupRecord, others_s: float) -> float:
+    def closing_time_s(self, group: GroupRecord, others_s: float) -> float:
         """Return how long a group's requests have: less where others can go on with them."""
-        others = any(
+        has_other = any(
             each.model == group.model and each.phase is GroupPhase.SERVING and each is not group
-            for each in self.of_service(group.service)
+            for each in self.groups_of(group.service)
         )
-        return others_s if others else self.tuning.close_at_most_s
+        return others_s if has_other else self.tuning.close_at_most_s
 
-    def time_for_answers_s(self, group: GroupRecord) -> float:
+    def answer_time_s(self, group: GroupRecord) -> float:
         """Return how long a traded group may take to end the answers that it has begun.
 
         That is some usual answers of its model with all slots in use. Nothing has failed, so its
@@ -169,18 +169,18 @@
         More at once would all end later. Before the first request loads are short, and what
         counts is that the store is never idle.
         """
-        if not self.loads_seen:
+        if not self.inherited_loads_seen:
             return 0
-        if self.loads_uncounted:
-            return self.limits[service].left_within(FIRST_REQUEST_TOLD_S, now_s)
-        left = self.limits[service].left(now_s)
+        if self.loads_unbounded:
+            return self.load_limits[service].remaining_within(MAX_REQUEST_NOTICE_DELAY_S, now_s)
+        left = self.load_limits[service].remaining(now_s)
         if self.demand.measured_since_s is None:
             return left
         at_once = int(share * self.specs[service].loads_at_once)
-        return min(left, at_once - self.loading(service))
+        return min(left, at_once - self.count_loading(service))
 
     @property
-    def loads_uncounted(self) -> bool:
+    def loads_unbounded(self) -> bool:
         """Tell whether loads are quick and not bounded: the site starts, and nobody asks yet.
 
         As others' requests are heard of late, what begins within that time stays bounded.
@@ -189,23 +189,23 @@
 
     def begin_loads(self, service: ServiceName, loads: int, now_s: float) -> bool:
         """Count loads that are to begin now, all or none; return whether they may."""
-        limit = self.limits[service]
-        if not self.loads_uncounted:
-            return limit.take(now_s, loads)
-        if loads > limit.left_within(FIRST_REQUEST_TOLD_S, now_s):
+        limit = self.load_limits[service]
+        if not self.loads_unbounded:
+            return limit.try_begin(now_s, loads)
+        if loads > limit.remaining_within(MAX_REQUEST_NOTICE_DELAY_S, now_s):
             return False
-        limit.note(now_s, loads)
+        limit.record_begun(now_s, loads)
         return True
 
-    def loading(self, service: ServiceName) -> int:
+    def count_loading(self, service: ServiceName) -> int:
         """Return how many engines of a service get weights, outside drained halls."""
-        return sum(not self.drains(record) for record in self._loading(service))
+        return sum(not self.is_drained(record) for record in self._loading_engines(service))
 
-    def loading_anywhere(self, service: ServiceName) -> int:
+    def count_loading_anywhere(self, service: ServiceName) -> int:
         """Return how many engines of a service get weights, in any hall."""
-        return len(self._loading(service))
+        return len(self._loading_engines(service))
 
-    def _loading(self, service: ServiceName) -> list[EngineRecord]:
+    def _loading_engines(self, service: ServiceName) -> list[EngineRecord]:
         return [
             record
             for record in self.engines.values()
@@ -213,4 +213,4 @@
         ]
 
 
-__all__ = ["STANDING", "CoordinatorState"]
+__all__ = ["CURRENT_PHASES", "CoordinatorState"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/summary.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/summary.py
@@ -20,9 +20,9 @@
     silent: int = 0
     leaving: int = 0
     loading: int = 0
-    able: Counter[ModelName] = field(default_factory=Counter)
+    joinable: Counter[ModelName] = field(default_factory=Counter)
 
-    def note(self, record: EngineRecord, member: bool) -> None:
+    def add(self, record: EngineRecord, member: bool) -> None:
         """Count one engine."""
         self.members += member
         self.silent += record.dead
@@ -32,20 +32,20 @@
             return
         self.free += 1
         for model in {record.last_model, *record.state.staged}:
-            if model is not None and record.quick(model):
-                self.able[model] += 1
+            if model is not None and record.can_join(model):
+                self.joinable[model] += 1
 
 
-def summaries(
+def summarize_domains(
     engines: Iterable[EngineRecord], members: frozenset[InstanceId]
 ) -> tuple[DomainSummary, ...]:
     """Return a summary for each domain."""
-    found: dict[DomainId, DomainSummary] = defaultdict(lambda: DomainSummary(DomainId("")))
+    by_domain: dict[DomainId, DomainSummary] = defaultdict(lambda: DomainSummary(DomainId("")))
     for record in engines:
-        summary = found[record.domain]
+        summary = by_domain[record.domain]
         summary.domain = record.domain
-        summary.note(record, record.instance in members)
-    return tuple(found[domain] for domain in sorted(found))
+        summary.add(record, record.instance in members)
+    return tuple(by_domain[domain] for domain in sorted(by_domain))
 
 
-__all__ = ["DomainSummary", "summaries"]
+__all__ = ["DomainSummary", "summarize_domains"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/swapping.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/swapping.py
@@ -22,16 +22,16 @@
     def __init__(self, state: CoordinatorState) -> None:
         self._state = state
 
-    def step(self, census: Census, now_s: float) -> None:
+    def close_slow_groups(self, census: Census, now_s: float) -> None:
         """Close what a swap pays for."""
         for group in census.groups:
             if group.phase is not GroupPhase.SERVING or group.domain == SPANNING:
                 continue
             slow = self._slow_members(group)
-            if not slow or self._state.closing(group.domain):
+            if not slow or self._state.has_closing_group(group.domain):
                 continue
             if self._substitutes(group, census) >= len(slow):
-                group.close_at_most_s = self._state.time_to_end_s(
+                group.close_timeout_s = self._state.closing_time_s(
                     group, self._state.tuning.swap_close_s
                 )
                 group.enter(GroupPhase.CLOSING, now_s, PhaseCause.SWAPPED, slow[0].instance)
@@ -44,7 +44,7 @@
         """Count the free engines that could join at once and are not slow themselves."""
         fit_pace = self._state.tuning.fit_pace
         free = census.free[group.domain]
-        return sum(each.quick(group.model) and each.state.pace <= fit_pace for each in free)
+        return sum(each.can_join(group.model) and each.state.pace <= fit_pace for each in free)
 
 
 __all__ = ["Swapping"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/trading.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/trading.py
@@ -6,7 +6,7 @@
 from ochreway_direct.configuration import ModelSpec
 from ochreway_direct.coordinator.census import Census
 from ochreway_direct.coordinator.grouprecord import GroupPhase, GroupRecord, PhaseCause
-from ochreway_direct.coordinator.placement import Slot
+from ochreway_direct.coordinator.placement import GroupSlot
 from ochreway_direct.coordinator.state import CoordinatorState
 from ochreway_direct.ids import ServiceName
 
@@ -17,12 +17,12 @@
     def __init__(self, state: CoordinatorState) -> None:
         self._state = state
 
-    def complete(
+    def close_for(
         self,
         service: ServiceName,
         model: ModelSpec,
-        slot: Slot,
-        surplus: Counter[Slot],
+        slot: GroupSlot,
+        surplus: Counter[GroupSlot],
         census: Census,
         now_s: float,
     ) -> None:
@@ -36,35 +36,35 @@
             census: the engines that are in no group, or about to be in none.
             now_s: the time.
         """
-        if self._state.closing(slot.domain):
+        if self._state.has_closing_group(slot.domain):
             return
-        coming = [*census.free[slot.domain], *census.survivors[slot.domain]]
-        lacking = model.size - sum(record.quick(model.name) for record in coming)
+        soon_free = [*census.free[slot.domain], *census.survivors[slot.domain]]
+        lacking = model.size - sum(record.can_join(model.name) for record in soon_free)
         left = Counter(surplus)
-        given_up = []
-        for group in self._state.of_service(service):
-            place = Slot(group.domain, group.model)
-            if group.phase is not GroupPhase.SERVING or left[place] <= 0 or lacking <= 0:
+        to_close = []
+        for group in self._state.groups_of(service):
+            group_slot = GroupSlot(group.domain, group.model)
+            if group.phase is not GroupPhase.SERVING or left[group_slot] <= 0 or lacking <= 0:
                 continue
-            able = self._able(group, model, slot)
-            if able > 0:
-                given_up.append(group)
-                left[place] -= 1
-                lacking -= able
+            joinable = self._count_joinable(group, model, slot)
+            if joinable > 0:
+                to_close.append(group)
+                left[group_slot] -= 1
+                lacking -= joinable
         if lacking > 0:
-            given_up = self._exchanged(service, model, slot, census)
-        for group in given_up:
+            to_close = self._exchangeable(service, model, slot, census)
+        for group in to_close:
             group.enter(GroupPhase.CLOSING, now_s, PhaseCause.TRADED)
-        for group in given_up:
-            group.close_at_most_s = self._state.time_to_end_s(
-                group, self._state.time_for_answers_s(group)
+        for group in to_close:
+            group.close_timeout_s = self._state.closing_time_s(
+                group, self._state.answer_time_s(group)
             )
 
-    def _exchanged(
+    def _exchangeable(
         self,
         service: ServiceName,
         model: ModelSpec,
-        slot: Slot,
+        slot: GroupSlot,
         census: Census,
     ) -> list[GroupRecord]:
         """Return a group of another model whose members a wanted one lacks, if it can replace them.
@@ -73,30 +73,30 @@
         to wait until a free engine has the weights that are lacking takes a load of 12 s or more.
         """
         free, survivors = census.free[slot.domain], census.survivors[slot.domain]
-        lacking = model.size - sum(r.quick(model.name) for r in (*free, *survivors))
+        lacking = model.size - sum(r.can_join(model.name) for r in (*free, *survivors))
         if survivors:
             return []
-        for group in self._state.of_service(service):
+        for group in self._state.groups_of(service):
             if group.phase is not GroupPhase.SERVING or group.domain != slot.domain:
                 continue
-            if group.model == model.name or self._able(group, model, slot) < lacking:
+            if group.model == model.name or self._count_joinable(group, model, slot) < lacking:
                 continue
-            spares = [r for r in free if r.quick(group.model) and not r.quick(model.name)]
-            if len(spares) >= lacking and self._carried(service, group):
+            spares = [r for r in free if r.can_join(group.model) and not r.can_join(model.name)]
+            if len(spares) >= lacking and self._has_serving_peer(service, group):
                 return [group]
         return []
 
-    def _carried(self, service: ServiceName, group: GroupRecord) -> bool:
+    def _has_serving_peer(self, service: ServiceName, group: GroupRecord) -> bool:
         """Tell whether another group of the same model serves meanwhile."""
         return any(
             each is not group and each.model == group.model and each.phase is GroupPhase.SERVING
-            for each in self._state.of_service(service)
+            for each in self._state.groups_of(service)
         )
 
-    def _able(self, group: GroupRecord, model: ModelSpec, slot: Slot) -> int:
+    def _count_joinable(self, group: GroupRecord, model: ModelSpec, slot: GroupSlot) -> int:
         """Count the members that could join a group of a model in a place's domain."""
         members = [self._state.engines[each] for each in group.members]
-        return sum(r.domain == slot.domain and r.quick(model.name) for r in members)
+        return sum(r.domain == slot.domain and r.can_join(model.name) for r in members)
 
 
 __all__ = ["Trading"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/worth.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/worth.py
@@ -8,17 +8,19 @@
 from ochreway_direct.configuration import EngineSpec, ModelSpec
 from ochreway_direct.coordinator.demand import CAPACITY_SHARE, TYPICAL_SEQUENCES
 
-DOWN_AT_MOST = 0.5
-EXACT_GROUPS = 60
+MAX_DOWNTIME_SHARE = 0.5
+MAX_EXACT_GROUPS = 60
 """Up to how many groups a chance is computed exactly."""
 
 
-def groups_needed(spec: EngineSpec, need: float) -> float:
+def groups_needed(spec: EngineSpec, demand: float) -> float:
     """Return how many groups carry so much work without requests having to wait."""
-    return need * TYPICAL_SEQUENCES / (CAPACITY_SHARE * spec.slots)
+    return demand * TYPICAL_SEQUENCES / (CAPACITY_SHARE * spec.slots)
 
 
-def gain(spec: EngineSpec, model: ModelSpec, need: float, groups: int, down: float) -> float:
+def marginal_utility(
+    spec: EngineSpec, model: ModelSpec, demand: float, groups: int, downtime_share: float
+) -> float:
     """Return what one more group adds to the work that is served, in groups kept busy.
 
     Each group is down for a part of the time, as any of its engines may be lost, so what is
@@ -32,27 +34,30 @@
         groups: how many groups there are.
         down: the share of the time for which one engine's loss takes its group down.
     """
-    up = 1.0 - min(DOWN_AT_MOST, model.size * down)
-    enough = groups_needed(spec, need)
-    whole = math.floor(enough)
-    short = _at_most(whole - 1, groups, up) + (enough - whole) * (
-        _at_most(whole, groups, up) - _at_most(whole - 1, groups, up)
+    up = 1.0 - min(MAX_DOWNTIME_SHARE, model.size * downtime_share)
+    required = groups_needed(spec, demand)
+    required_floor = math.floor(required)
+    chance_of_use = _chance_at_most(required_floor - 1, groups, up) + (
+        required - required_floor
+    ) * (
+        _chance_at_most(required_floor, groups, up)
+        - _chance_at_most(required_floor - 1, groups, up)
     )
-    return up * short * need / enough
+    return up * chance_of_use * demand / required
 
 
 @lru_cache(maxsize=4096)
-def _at_most(number: int, groups: int, up: float) -> float:
+def _chance_at_most(number: int, groups: int, up: float) -> float:
     """Return the chance that at most a number of groups are up."""
     if number < 0:
         return 0.0
     if number >= groups:
         return 1.0
-    if groups > EXACT_GROUPS:
-        spread = math.sqrt(groups * up * (1.0 - up))
-        return NormalDist(groups * up, spread).cdf(number + 0.5)
+    if groups > MAX_EXACT_GROUPS:
+        deviation = math.sqrt(groups * up * (1.0 - up))
+        return NormalDist(groups * up, deviation).cdf(number + 0.5)
     chances = (math.comb(groups, k) * up**k * (1.0 - up) ** (groups - k) for k in range(number + 1))
     return sum(chances)
 
 
-__all__ = ["gain", "groups_needed"]
+__all__ = ["marginal_utility", "groups_needed"]
--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -169,7 +169,7 @@
         self._drains = DrainKeeper(
             HallDrains(settings.hall_drain_s),
             fleet,
-            self.coordination.coordinator.drain,
+            self.coordination.coordinator.set_drained_halls,
             self._halls_changed,
             log,
             metrics,
--- a/packages/ochreway-direct/src/ochreway_direct/planlog.py
+++ b/packages/ochreway-direct/src/ochreway_direct/planlog.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ochreway_direct.coordinator.formation import PlanSummary
-from ochreway_direct.coordinator.placement import Slot
+from ochreway_direct.coordinator.placement import GroupSlot
 from ochreway_direct.ids import ServiceName
 from ochreway_runtime.logs import EventLog
 
@@ -52,14 +52,14 @@
             "plan",
             service=service,
             measured=plan.measured,
-            needs=",".join(f"{model}:{need:.2f}" for model, need in plan.needs.items()),
+            needs=",".join(f"{model}:{need:.2f}" for model, need in plan.model_demand.items()),
             wanted=slots_text(plan.wanted),
-            standing=slots_text(plan.standing),
+            standing=slots_text(plan.current),
             loading=loading,
         )
 
 
-def slots_text(slots: Mapping[Slot, int]) -> str:
+def slots_text(slots: Mapping[GroupSlot, int]) -> str:
     """Return numbers of groups by place, in one word."""
     return ",".join(
         f"{slot.model}@{slot.domain}:{number}"
@@ -70,11 +70,14 @@
 
 def _differs(told: _Told, plan: PlanSummary, loading: int) -> bool:
     before = told.plan
-    if (before.wanted, before.standing) != (plan.wanted, plan.standing):
+    if (before.wanted, before.current) != (plan.wanted, plan.current):
         return True
     if before.measured != plan.measured or bool(told.loading) != bool(loading):
         return True
-    return any(_moved(before.needs.get(model, 0.0), need) for model, need in plan.needs.items())
+    return any(
+        _moved(before.model_demand.get(model, 0.0), need)
+        for model, need in plan.model_demand.items()
+    )
 
 
 def _moved(before: float, need: float) -> bool:
--- a/packages/ochreway-standins/src/ochreway_standins/engineworld.py
+++ b/packages/ochreway-standins/src/ochreway_standins/engineworld.py
@@ -301,7 +301,9 @@
             self.late.append((late_s, assignment))
         else:
             outcome = self._carry_out(assignment.instance, assignment.order)
-        self.coordinator.on_outcome(assignment.instance, assignment.order, outcome, self.now_s)
+        self.coordinator.on_order_outcome(
+            assignment.instance, assignment.order, outcome, self.now_s
+        )
 
     # What engines do.
 
--- a/packages/ochreway-standins/src/ochreway_standins/slopes/direct.py
+++ b/packages/ochreway-standins/src/ochreway_standins/slopes/direct.py
@@ -97,7 +97,7 @@
 
 def coordination(engines: int) -> None:
     """Time a coordinator's steps while all engines serve and nothing changes, and with changes."""
-    coordinator = Coordinator(heard=lambda _: True)
+    coordinator = Coordinator(is_answering=lambda _: True)
     coordinator.configure(_sized(CONFIGURATION))
     coordinator.begin(Epoch(1), 0.0)
     listed = [_listed(number) for number in range(engines)]
--- a/tests/direct/test_candidates.py
+++ b/tests/direct/test_candidates.py
@@ -13,52 +13,56 @@
 from ochreway_standins.engineworld import SERVICE, SMALL
 
 
-def engines(domains: int, each: int) -> list[EngineRecord]:
+def free_engines(domains: int, each: int) -> list[EngineRecord]:
     """Return free engines without weights."""
-    found = []
+    engine_records = []
     for number in range(domains * each):
         state = EngineState(DomainId(f"d{number % domains}"))
         listed = ListedTarget(
             InstanceId(f"i{number}"), SERVICE, "a:1", HallId("h"), False, 24, state
         )
-        found.append(EngineRecord(listed, state))
-    return found
+        engine_records.append(EngineRecord(listed, state))
+    return engine_records
 
 
 class CandidatesTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.looked_at = 0
-        self.begun: dict[DomainId, int] = {}
+        self.evaluated = 0
+        self.begun_per_domain: dict[DomainId, int] = {}
 
-    def best(self, records: Iterable[EngineRecord]) -> Load | None:
+    def best_load(self, records: Iterable[EngineRecord]) -> Load | None:
         """Return a load that is worth less for each that its domain has had."""
-        found = []
+        candidate_loads = []
         for record in records:
-            self.looked_at += 1
-            had = self.begun.get(record.domain, 0)
-            found.append(Load(record, SMALL, Use.EMPTY, 10.0 - had))
-        return min(found, key=lambda each: each.rank, default=None)
+            self.evaluated += 1
+            had = self.begun_per_domain.get(record.domain, 0)
+            candidate_loads.append(Load(record, SMALL, Use.EMPTY, 10.0 - had))
+        return min(candidate_loads, key=lambda each: each.rank, default=None)
 
-    def begin_all(self, domains: int, each: int, loads: int) -> list[Load]:
-        candidates = Candidates(engines(domains, each), lambda record: Use.EMPTY, self.best)
+    def begin_loads(self, domains: int, each: int, loads: int) -> list[Load]:
+        candidates = Candidates(
+            free_engines(domains, each), lambda record: Use.EMPTY, self.best_load
+        )
         begun = []
-        while len(begun) < loads and (load := candidates.first()) is not None:
+        while len(begun) < loads and (load := candidates.peek()) is not None:
             begun.append(load)
-            self.begun[load.record.domain] = self.begun.get(load.record.domain, 0) + 1
-            candidates.begun(load)
+            self.begun_per_domain[load.record.domain] = (
+                self.begun_per_domain.get(load.record.domain, 0) + 1
+            )
+            candidates.mark_begun(load)
         return begun
 
     def test_the_best_load_of_all_domains_comes_first(self) -> None:
-        begun = self.begin_all(domains=3, each=4, loads=6)
-        self.assertEqual({2}, set(self.begun.values()))
+        begun = self.begin_loads(domains=3, each=4, loads=6)
+        self.assertEqual({2}, set(self.begun_per_domain.values()))
         self.assertEqual(6, len({load.record.instance for load in begun}))
 
-    def test_each_engine_is_given_once_and_then_none(self) -> None:
-        begun = self.begin_all(domains=3, each=4, loads=100)
+    def test_each_engine_is_offered_once(self) -> None:
+        begun = self.begin_loads(domains=3, each=4, loads=100)
         self.assertEqual(12, len({load.record.instance for load in begun}))
         self.assertEqual(12, len(begun))
 
-    def test_of_many_engines_few_are_looked_at(self) -> None:
-        self.begin_all(domains=100, each=30, loads=1500)
-        self.assertLessEqual(self.looked_at, 100 + 1500)
+    def test_few_of_many_engines_are_evaluated(self) -> None:
+        self.begin_loads(domains=100, each=30, loads=1500)
+        self.assertLessEqual(self.evaluated, 100 + 1500)
--- a/tests/direct/test_coordination.py
+++ b/tests/direct/test_coordination.py
@@ -115,8 +115,8 @@
 
     def test_an_engine_that_does_not_answer_is_silent(self) -> None:
         record = self.probed(0.0)
-        self.assertEqual((1, False), (record.misses, record.probing))
+        self.assertEqual((1, False), (record.misses, record.probe_pending))
 
     def test_silence_while_this_process_stood_still_counts_for_nothing(self) -> None:
         record = self.probed(0.5)
-        self.assertEqual((0, False), (record.misses, record.probing))
+        self.assertEqual((0, False), (record.misses, record.probe_pending))
--- a/tests/direct/test_coordinator.py
+++ b/tests/direct/test_coordinator.py
@@ -278,8 +278,8 @@
         world = settled()
         member = world.coordinator.engines[world.members(LARGE)[2]]
         member.staging = SMALL.name
-        self.assertTrue(member.quick(LARGE.name))
-        self.assertFalse(member.quick(SMALL.name))
+        self.assertTrue(member.can_join(LARGE.name))
+        self.assertFalse(member.can_join(SMALL.name))
 
     def test_loads_stay_under_their_bound(self) -> None:
         world = EngineWorld(domains=6)
--- a/tests/direct/test_demandmeter.py
+++ b/tests/direct/test_demandmeter.py
@@ -9,7 +9,7 @@
 
 import testtools
 
-from ochreway_direct.coordinator.demand import MEASURED_AT_LEAST_S, Demand
+from ochreway_direct.coordinator.demand import MIN_MEASUREMENT_S, Demand
 from ochreway_direct.demandmeter import DemandMeter
 from ochreway_direct.ids import ModelName
 from ochreway_standins.engineworld import SPEC
@@ -55,7 +55,7 @@
         meter, demand = DemandMeter(), Demand()
         for step in range(40):
             if step == 0:
-                play(meter, 1, MEASURED_AT_LEAST_S + 0.2)
+                play(meter, 1, MIN_MEASUREMENT_S + 0.2)
             demand.update(meter.offered(step * 0.05), step * 0.05)
-        needs = demand.needs(SPEC, 81)
+        needs = demand.by_model(SPEC, 81)
         self.assertGreater(needs[SMALL], 3.0 * needs[LARGE])
--- a/tests/direct/test_drainplanning.py
+++ b/tests/direct/test_drainplanning.py
@@ -32,11 +32,11 @@
 
     def drain(self, *halls: HallId) -> None:
         self.drained = frozenset(halls)
-        self.coordinator.drain(self.drained)
+        self.coordinator.set_drained_halls(self.drained)
 
     def take_over(self) -> None:
         super().take_over()
-        self.coordinator.drain(self.drained)
+        self.coordinator.set_drained_halls(self.drained)
 
     def _give(self, assignment: Assignment) -> None:
         if self.hall(assignment.instance) in self.drained:
@@ -92,8 +92,8 @@
         known = set(world.coordinator.groups)
         world.run(10.0)
         plan = world.coordinator.plans[SERVICE]
-        self.assertNotIn(DRAINED, {slot.domain for slot in (*plan.wanted, *plan.standing)})
-        self.assertTrue(plan.standing)
+        self.assertNotIn(DRAINED, {slot.domain for slot in (*plan.wanted, *plan.current)})
+        self.assertTrue(plan.current)
         census = take_census(world.coordinator._state, SERVICE)
         self.assertEqual([], census.free[DomainId(DRAINED)])
         begun = [g for name, g in world.coordinator.groups.items() if name not in known]
@@ -198,15 +198,15 @@
         world = settled()
         for record in world.coordinator.engines.values():
             record.dead = record.listed.hall in (DRAINED, KEPT)
-        self.assertTrue(world.coordinator._all_silent())
+        self.assertTrue(world.coordinator._most_silent())
         world.drain(DRAINED)
-        self.assertFalse(world.coordinator._all_silent())
+        self.assertFalse(world.coordinator._most_silent())
 
     def test_engines_of_the_hall_are_asked_rarely_and_their_silence_is_no_loss_to_plan_for(
         self,
     ) -> None:
         world = settled()
-        losses = world.coordinator._state.losses
+        losses = world.coordinator._state.loss_meter
         world.drain(DRAINED)
         world.run(1.0)
         asked: list[InstanceId] = []
@@ -222,11 +222,11 @@
         inside = [i for i in world.engines if world.hall(i) == DRAINED]
         self.assertLessEqual(len(asked), 11 * len(inside))
         self.assertGreaterEqual(len(asked), 9 * len(inside))
-        rate = losses.per_engine_s
+        rate = losses.losses_per_engine_s
         for instance in inside:
             world.crash(instance)
         world.run(6.0)
-        self.assertLessEqual(losses.per_engine_s, rate)
+        self.assertLessEqual(losses.losses_per_engine_s, rate)
 
     def test_engines_of_a_hall_that_is_given_back_are_asked_at_once(self) -> None:
         world = settled()
@@ -243,14 +243,14 @@
     def test_weights_being_loaded_there_leave_their_place_to_loads_elsewhere(self) -> None:
         world = settled()
         state = world.coordinator._state
-        loading = state.loading(SERVICE)
+        loading = state.count_loading(SERVICE)
         for record in [r for r in state.engines.values() if r.listed.hall == DRAINED][:3]:
-            record.stage(LARGE.name, world.now_s + 60.0)
-        self.assertEqual(loading + 3, state.loading(SERVICE))
+            record.begin_staging(LARGE.name, world.now_s + 60.0)
+        self.assertEqual(loading + 3, state.count_loading(SERVICE))
         world.drain(DRAINED)
-        self.assertEqual(loading, state.loading(SERVICE))
+        self.assertEqual(loading, state.count_loading(SERVICE))
         # What a new holder takes to have begun in the bounded window is all of them.
-        self.assertEqual(loading + 3, state.loading_anywhere(SERVICE))
+        self.assertEqual(loading + 3, state.count_loading_anywhere(SERVICE))
 
     def test_a_group_being_formed_half_there_gives_its_engines_up(self) -> None:
         world = settled()
@@ -270,9 +270,9 @@
                 since_s=world.now_s,
                 cause=cause,
             )
-            state.draining = frozenset({DRAINED})
+            state.drained_halls = frozenset({DRAINED})
             state.groups = {group.group: group}
-            world.coordinator._lifecycle._step_forming(group, world.now_s)
+            world.coordinator._lifecycle._advance_forming(group, world.now_s)
             self.assertIs(phase, group.phase)
 
     def test_a_group_being_formed_there_waits_for_the_hall_to_be_back(self) -> None:
@@ -287,9 +287,9 @@
         )
         world.drain(DRAINED)
         state.groups = {group.group: group}
-        world.coordinator._lifecycle._step_forming(group, world.now_s)
+        world.coordinator._lifecycle._advance_forming(group, world.now_s)
         world.drain()
-        world.coordinator._lifecycle._step_forming(group, world.now_s)
+        world.coordinator._lifecycle._advance_forming(group, world.now_s)
         self.assertIs(GroupPhase.FORMING, group.phase)
 
     def test_with_every_hall_drained_nothing_is_ordered_and_all_is_kept(self) -> None:
@@ -307,12 +307,12 @@
         listed = EngineWorld(1, 1).coordinator.engines[InstanceId("e1")].listed
         record = EngineRecord(listed, EngineState(DomainId("d0")))
         order = Close(GroupId("g"), Epoch(1))
-        state.draining = frozenset({listed.hall})
-        self.assertFalse(state.order(record, order, 1.0))
-        self.assertEqual(([], None), (state.out, record.pending))
+        state.drained_halls = frozenset({listed.hall})
+        self.assertFalse(state.issue_order(record, order, 1.0))
+        self.assertEqual(([], None), (state.assignments, record.pending_order))
         other = replace(listed, hall=KEPT)
-        self.assertTrue(state.order(EngineRecord(other, record.state), order, 1.0))
-        self.assertEqual(1, len(state.out))
+        self.assertTrue(state.issue_order(EngineRecord(other, record.state), order, 1.0))
+        self.assertEqual(1, len(state.assignments))
 
     def test_a_slow_or_surplus_group_there_is_neither_swapped_nor_traded(self) -> None:
         world = settled()
--- a/tests/direct/test_firstplans.py
+++ b/tests/direct/test_firstplans.py
@@ -17,16 +17,16 @@
 
 from ochreway_core.ids import DomainId
 from ochreway_direct.configuration import EngineSpec, ModelSpec
+from ochreway_direct.coordinator.capacity import Capacity
 from ochreway_direct.coordinator.demand import Demand
 from ochreway_direct.coordinator.layout import plan
-from ochreway_direct.coordinator.placement import Slot, totals_of
-from ochreway_direct.coordinator.room import Room
+from ochreway_direct.coordinator.placement import GroupSlot, groups_per_model
 from ochreway_direct.coordinator.tuning import CoordinatorTuning
 from ochreway_direct.ids import ModelName
 from ochreway_standins.engineworld import SMALL, SPEC
 
 TUNING = CoordinatorTuning()
-DOWN = 0.02
+DOWNTIME_SHARE = 0.02
 """An engine lost each 250 s, and five seconds until its group serves again."""
 BUILDS = settings(max_examples=200, deadline=None, derandomize=True, database=None)
 NAMES = tuple(ModelName(name) for name in ("a", "b", "c"))
@@ -37,8 +37,8 @@
     """Hold a site's models, the usable engines of its domains, and the groups that stand."""
 
     models: tuple[ModelSpec, ...]
-    rooms: Mapping[DomainId, Room]
-    standing: Mapping[Slot, int]
+    capacities: Mapping[DomainId, Capacity]
+    current: Mapping[GroupSlot, int]
 
     @property
     def spec(self) -> EngineSpec:
@@ -46,16 +46,26 @@
 
     @property
     def engines(self) -> int:
-        return sum(room.total for room in self.rooms.values())
-
-    def plan(self) -> Counter[Slot]:
-        needs = Demand().needs(self.spec, self.engines)
-        return plan(self.spec, (needs,), self.rooms, self.standing, DOWN, TUNING, least_gain=0.0)
+        return sum(capacity.total for capacity in self.capacities.values())
+
+    def plan(self) -> Counter[GroupSlot]:
+        model_demand = Demand().by_model(self.spec, self.engines)
+        return plan(
+            self.spec,
+            (model_demand,),
+            self.capacities,
+            self.current,
+            DOWNTIME_SHARE,
+            TUNING,
+            min_utility=0.0,
+        )
 
     def without(self, domain: DomainId) -> "Build":
-        rooms = {each: room for each, room in self.rooms.items() if each != domain}
-        standing = {slot: n for slot, n in self.standing.items() if slot.domain != domain}
-        return replace(self, rooms=rooms, standing=standing)
+        capacities = {
+            each: capacity for each, capacity in self.capacities.items() if each != domain
+        }
+        current = {slot: n for slot, n in self.current.items() if slot.domain != domain}
+        return replace(self, capacities=capacities, current=current)
 
 
 def models_of(sizes: tuple[int, ...], shares: tuple[float, ...]) -> tuple[ModelSpec, ...]:
@@ -63,12 +73,12 @@
     return tuple(replace(SMALL, name=n, size=size, share=share) for n, size, share in figures)
 
 
-def alike(domains: int, engines: int) -> dict[DomainId, Room]:
-    return unlike(*[engines] * domains)
+def equal_domains(domains: int, engines: int) -> dict[DomainId, Capacity]:
+    return domains_of(*[engines] * domains)
 
 
-def unlike(*engines: int) -> dict[DomainId, Room]:
-    return {DomainId(f"d{n}"): Room({frozenset(NAMES): k}) for n, k in enumerate(engines)}
+def domains_of(*engines: int) -> dict[DomainId, Capacity]:
+    return {DomainId(f"d{n}"): Capacity({frozenset(NAMES): k}) for n, k in enumerate(engines)}
 
 
 @st.composite
@@ -88,51 +98,51 @@
 
 
 @st.composite
-def builds(draw: st.DrawFn, most: int = 3, standing: bool = True) -> Build:
+def builds(draw: st.DrawFn, most: int = 3, with_current: bool = True) -> Build:
     """Draw a site with room for a group of each model; engines may be able to join some only."""
     models = draw(sizes_and_shares(most))
     names = frozenset(each.name for each in models)
     domains = draw(st.integers(2, 5))
     engines = draw(st.integers(8, 45))
-    are_alike = draw(st.booleans())
-    rooms = {}
+    are_equal = draw(st.booleans())
+    capacities = {}
     for n in range(domains):
-        counts = {names: engines if are_alike else draw(st.integers(1, 45))}
-        if not are_alike and draw(st.booleans()):
+        counts = {names: engines if are_equal else draw(st.integers(1, 45))}
+        if not are_equal and draw(st.booleans()):
             counts[frozenset({draw(st.sampled_from(sorted(names)))})] = draw(st.integers(1, 20))
-        rooms[DomainId(f"d{n}")] = Room(counts)
-    stands: dict[Slot, int] = {}
-    if standing and draw(st.booleans()):
+        capacities[DomainId(f"d{n}")] = Capacity(counts)
+    current_groups: dict[GroupSlot, int] = {}
+    if with_current and draw(st.booleans()):
         model = draw(st.sampled_from(models))
-        for domain, room in rooms.items():
-            stands[Slot(domain, model.name)] = room.engines[names] // model.size
-    return Build(models, rooms, stands)
+        for domain, capacity in capacities.items():
+            current_groups[GroupSlot(domain, model.name)] = capacity.engines[names] // model.size
+    return Build(models, capacities, current_groups)
 
 
-def fits_beside(build: Build, chosen: Mapping[Slot, int], model: ModelSpec) -> bool:
+def fits_beside(build: Build, chosen: Mapping[GroupSlot, int], model: ModelSpec) -> bool:
     """Tell whether one more group of a model finds room where the others are."""
-    for domain, room in build.rooms.items():
-        members = {m.name: m.size * chosen.get(Slot(domain, m.name), 0) for m in build.models}
+    for domain, capacity in build.capacities.items():
+        members = {m.name: m.size * chosen.get(GroupSlot(domain, m.name), 0) for m in build.models}
         members[model.name] += model.size
-        if room.holds(members):
+        if capacity.fits(members):
             return True
     return False
 
 
-def each_has_room(build: Build) -> bool:
+def each_model_fits(build: Build) -> bool:
     """Tell whether one group of each model find room together, trying all their places."""
-    for places in product(build.rooms, repeat=len(build.models)):
-        members: dict[DomainId, Counter[ModelName]] = {each: Counter() for each in build.rooms}
+    for places in product(build.capacities, repeat=len(build.models)):
+        members: dict[DomainId, Counter[ModelName]] = {each: Counter() for each in build.capacities}
         for domain, model in zip(places, build.models, strict=True):
             members[domain][model.name] += model.size
-        if all(build.rooms[domain].holds(asked) for domain, asked in members.items()):
+        if all(build.capacities[domain].fits(asked) for domain, asked in members.items()):
             return True
     return False
 
 
-def over_half(chosen: Mapping[Slot, int]) -> set[ModelName]:
+def over_half(chosen: Mapping[GroupSlot, int]) -> set[ModelName]:
     """Return the models of which a domain has more than half of the groups, rounded up."""
-    totals = totals_of(chosen)
+    totals = groups_per_model(chosen)
     return {slot.model for slot, n in chosen.items() if n > (totals[slot.model] + 1) // 2}
 
 
@@ -140,19 +150,19 @@
     build: Build, totals: Mapping[ModelName, int], within: Iterable[ModelName]
 ) -> bool:
     """Tell whether as many groups can be placed with some models' spread, trying all places."""
-    domains, models = sorted(build.rooms), build.models
+    domains, models = sorted(build.capacities), build.models
     bounds = {name: (totals[name] + 1) // 2 for name in within}
 
     @cache
     def place(n: int, left: tuple[int, ...]) -> bool:
         if n == len(domains):
             return not any(left)
-        room = build.rooms[domains[n]]
+        capacity = build.capacities[domains[n]]
         most = (min(k, bounds.get(m.name, k)) for m, k in zip(models, left, strict=True))
         for numbers in product(*(range(each + 1) for each in most)):
             asked = {m.name: m.size * k for m, k in zip(models, numbers, strict=True)}
             rest = tuple(a - k for a, k in zip(left, numbers, strict=True))
-            if room.holds(asked) and place(n + 1, rest):
+            if capacity.fits(asked) and place(n + 1, rest):
                 return True
         return False
 
@@ -162,15 +172,15 @@
 class FirstPlanProperties(testtools.TestCase):
     @BUILDS
     @given(builds())
-    @example(Build(models_of((8, 4), (0.1, 0.9)), alike(2, 10), {}))
-    @example(Build(models_of((16, 4), (0.02, 0.98)), alike(3, 37), {}))
-    @example(Build(models_of((16, 4), (0.0, 0.0)), alike(3, 37), {}))
-    @example(Build(models_of((16, 4), (0.1, 0.9)), unlike(42, 20, 31), {}))
+    @example(Build(models_of((8, 4), (0.1, 0.9)), equal_domains(2, 10), {}))
+    @example(Build(models_of((16, 4), (0.02, 0.98)), equal_domains(3, 37), {}))
+    @example(Build(models_of((16, 4), (0.0, 0.0)), equal_domains(3, 37), {}))
+    @example(Build(models_of((16, 4), (0.1, 0.9)), domains_of(42, 20, 31), {}))
     def test_each_model_has_a_group_where_one_fits(self, build: Build) -> None:
         """Guards against a model without a group because its share is small, or missing."""
         chosen = build.plan()
-        totals = totals_of(chosen)
-        if each_has_room(build):
+        totals = groups_per_model(chosen)
+        if each_model_fits(build):
             self.assertEqual(set(), {m.name for m in build.models if not totals[m.name]})
         for model in build.models:
             if not totals[model.name]:
@@ -182,9 +192,9 @@
         self, build: Build, data: st.DataObject
     ) -> None:
         """Guards against a model that goes with the domain that held its only groups."""
-        left = build.without(data.draw(st.sampled_from(sorted(build.rooms))))
-        totals = totals_of(left.plan())
-        if each_has_room(left):
+        left = build.without(data.draw(st.sampled_from(sorted(build.capacities))))
+        totals = groups_per_model(left.plan())
+        if each_model_fits(left):
             self.assertEqual(set(), {m.name for m in left.models if not totals[m.name]})
 
     @BUILDS
@@ -195,19 +205,19 @@
         self.assertEqual([], [m.name for m in build.models if fits_beside(build, chosen, m)])
 
     @BUILDS
-    @given(builds(most=2, standing=False))
-    @example(Build(models_of((10, 5), (0.4, 0.6)), unlike(20, 18), {}))
-    @example(Build(models_of((4, 2), (0.75, 0.25)), unlike(34, 10), {}))
-    @example(Build(models_of((4, 2), (0.5, 0.5)), unlike(20, 18, 42, 4), {}))
+    @given(builds(most=2, with_current=False))
+    @example(Build(models_of((10, 5), (0.4, 0.6)), domains_of(20, 18), {}))
+    @example(Build(models_of((4, 2), (0.75, 0.25)), domains_of(34, 10), {}))
+    @example(Build(models_of((4, 2), (0.5, 0.5)), domains_of(20, 18, 42, 4), {}))
     def test_no_domain_has_more_than_half_where_that_can_be_avoided(self, build: Build) -> None:
         """Guards against a model that is gone, or nearly so, once one domain is lost."""
         chosen = build.plan()
-        totals, over = totals_of(chosen), over_half(chosen)
+        totals, over = groups_per_model(chosen), over_half(chosen)
         within = totals.keys() - over
         for name in over:
             self.assertFalse(can_be_within_half(build, totals, {*within, name}))
 
-    def test_engines_that_not_all_models_fit_on_are_planned_as_they_are_worth(self) -> None:
+    def test_engines_for_only_some_models_are_planned_by_utility(self) -> None:
         """Guards against a large group formed of a list's first engines in place of small ones."""
-        chosen = Build(models_of((4, 2), (0.67, 0.33)), unlike(4), {}).plan()
-        self.assertEqual({NAMES[1]: 2}, dict(totals_of(chosen)))
+        chosen = Build(models_of((4, 2), (0.67, 0.33)), domains_of(4), {}).plan()
+        self.assertEqual({NAMES[1]: 2}, dict(groups_per_model(chosen)))
--- a/tests/direct/test_planlog.py
+++ b/tests/direct/test_planlog.py
@@ -5,29 +5,29 @@
 
 from ochreway_core.ids import DomainId
 from ochreway_direct.coordinator.formation import PlanSummary
-from ochreway_direct.coordinator.placement import Slot
+from ochreway_direct.coordinator.placement import GroupSlot
 from ochreway_direct.ids import ModelName, ServiceName
 from ochreway_direct.planlog import LEAST_GAP_S, PlanLog
 from ochreway_runtime.logs import EventLog
 
 SERVICE = ServiceName("models")
 LARGE, SMALL = ModelName("large"), ModelName("small")
-WANTED = {Slot(DomainId("d0"), LARGE): 1, Slot(DomainId("d1"), SMALL): 2}
+WANTED = {GroupSlot(DomainId("d0"), LARGE): 1, GroupSlot(DomainId("d1"), SMALL): 2}
 
 
-class Lines(EventLog):
+class RecordingLog(EventLog):
     """Keep the fields of each line."""
 
     def __init__(self) -> None:
         super().__init__("entry", "e", "error")
-        self.kept: list[dict[str, object]] = []
+        self.events: list[dict[str, object]] = []
 
     def event(self, name: str, **fields: object) -> None:
         """Keep a line."""
-        self.kept.append({"name": name, **fields})
+        self.events.append({"name": name, **fields})
 
 
-def plan(large: float, small: float, standing: dict[Slot, int] | None = None) -> PlanSummary:
+def plan(large: float, small: float, standing: dict[GroupSlot, int] | None = None) -> PlanSummary:
     """Return a plan for so much work."""
     return PlanSummary(True, {LARGE: large, SMALL: small}, WANTED, standing or {})
 
@@ -35,48 +35,48 @@
 class PlanLogTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.lines = Lines()
-        self.log = PlanLog(self.lines)
+        self.recorder = RecordingLog()
+        self.log = PlanLog(self.recorder)
 
-    def test_a_line_tells_needs_groups_and_loads(self) -> None:
-        self.log.step(SERVICE, plan(1.0, 7.25, {Slot(DomainId("d1"), SMALL): 1}), 3, 0.0)
-        (line,) = self.lines.kept
+    def test_an_event_has_demand_groups_and_loads(self) -> None:
+        self.log.step(SERVICE, plan(1.0, 7.25, {GroupSlot(DomainId("d1"), SMALL): 1}), 3, 0.0)
+        (line,) = self.recorder.events
         self.assertEqual("plan", line["name"])
         self.assertEqual("large:1.00,small:7.25", line["needs"])
         self.assertEqual("large@d0:1,small@d1:2", line["wanted"])
         self.assertEqual("small@d1:1", line["standing"])
         self.assertEqual(3, line["loading"])
 
-    def test_nothing_new_is_not_told_again(self) -> None:
+    def test_an_unchanged_plan_is_not_logged_again(self) -> None:
         for n in range(100):
             self.log.step(SERVICE, plan(1.0, 7.0 + 0.01 * (n % 2)), 3 + n % 2, float(n))
-        self.assertEqual(1, len(self.lines.kept))
+        self.assertEqual(1, len(self.recorder.events))
 
-    def test_work_that_turns_is_told(self) -> None:
+    def test_a_change_of_demand_is_logged(self) -> None:
         self.log.step(SERVICE, plan(1.0, 7.0), 0, 0.0)
         self.log.step(SERVICE, plan(4.0, 7.0), 0, 1.0)
-        self.assertEqual("large:4.00,small:7.00", self.lines.kept[-1]["needs"])
+        self.assertEqual("large:4.00,small:7.00", self.recorder.events[-1]["needs"])
 
-    def test_a_group_more_and_the_first_load_are_told(self) -> None:
+    def test_a_further_group_and_the_first_load_are_logged(self) -> None:
         self.log.step(SERVICE, plan(1.0, 7.0), 0, 0.0)
-        self.log.step(SERVICE, plan(1.0, 7.0, {Slot(DomainId("d1"), SMALL): 1}), 0, 1.0)
-        self.log.step(SERVICE, plan(1.0, 7.0, {Slot(DomainId("d1"), SMALL): 1}), 1, 2.0)
-        self.assertEqual(3, len(self.lines.kept))
+        self.log.step(SERVICE, plan(1.0, 7.0, {GroupSlot(DomainId("d1"), SMALL): 1}), 0, 1.0)
+        self.log.step(SERVICE, plan(1.0, 7.0, {GroupSlot(DomainId("d1"), SMALL): 1}), 1, 2.0)
+        self.assertEqual(3, len(self.recorder.events))
 
-    def test_lines_have_a_budget(self) -> None:
+    def test_events_are_rate_limited(self) -> None:
         for n in range(200):
             self.log.step(SERVICE, plan(float(n), 1.0), 0, n * 0.02)
-        self.assertLessEqual(len(self.lines.kept), 4.0 / LEAST_GAP_S + 1)
+        self.assertLessEqual(len(self.recorder.events), 4.0 / LEAST_GAP_S + 1)
 
-    def test_a_new_holder_tells_its_first_plan(self) -> None:
+    def test_a_new_holder_logs_its_first_plan(self) -> None:
         self.log.step(SERVICE, plan(1.0, 7.0), 0, 0.0)
         self.log.forget()
         self.log.step(SERVICE, plan(1.0, 7.0), 0, 0.1)
-        self.assertEqual(2, len(self.lines.kept))
+        self.assertEqual(2, len(self.recorder.events))
 
-    def test_what_changed_within_the_gap_is_told_after_it(self) -> None:
+    def test_a_change_within_the_minimum_interval_is_logged_after_it(self) -> None:
         self.log.step(SERVICE, plan(1.0, 7.0), 0, 0.0)
         self.log.step(SERVICE, plan(4.0, 7.0), 0, 0.1)
-        self.assertEqual(1, len(self.lines.kept))
+        self.assertEqual(1, len(self.recorder.events))
         self.log.step(SERVICE, plan(4.0, 7.0), 0, LEAST_GAP_S)
-        self.assertEqual(2, len(self.lines.kept))
+        self.assertEqual(2, len(self.recorder.events))
--- a/tests/direct/test_probing.py
+++ b/tests/direct/test_probing.py
@@ -20,35 +20,35 @@
 )
 
 
-def asked(world: EngineWorld, seconds: float) -> int:
+def probes_made(world: EngineWorld, seconds: float) -> int:
     """Return how many probes a world's coordinator makes in a while."""
-    found = 0
+    probe_count = 0
     due_probes = world.coordinator.due_probes
 
     def count(now_s: float) -> list[object]:
-        nonlocal found
+        nonlocal probe_count
         due = due_probes(now_s)
-        found += len(due)
+        probe_count += len(due)
         return list(due)
 
     world.coordinator.due_probes = count  # type: ignore[method-assign, assignment]
     world.run(seconds)
     world.coordinator.due_probes = due_probes  # type: ignore[method-assign]
-    return found
+    return probe_count
 
 
 class ProbingTests(testtools.TestCase):
     def test_members_of_groups_that_answer_are_asked_rarely(self) -> None:
         world = EngineWorld()
         world.run(60.0)
-        before = asked(world, 10.0)
-        world.coordinator._probing.heard = lambda _: True
-        self.assertLess(asked(world, 10.0), 0.7 * before)
+        before = probes_made(world, 10.0)
+        world.coordinator._probing.is_answering = lambda _: True
+        self.assertLess(probes_made(world, 10.0), 0.7 * before)
 
     def test_a_member_lost_to_a_group_that_falls_silent_is_noticed_at_once(self) -> None:
         world = EngineWorld()
         world.run(60.0)
-        world.coordinator._probing.heard = lambda _: True
+        world.coordinator._probing.is_answering = lambda _: True
         before = world.serving(LARGE)
         lost = world.members(LARGE)[1]
         group = next(n for n, g in world.coordinator.groups.items() if lost in g.members)
@@ -62,14 +62,14 @@
         coordinator.begin(Epoch(1), 0.0)
         listed = [replace(LISTED, instance=InstanceId(f"i{n}")) for n in range(500)]
         coordinator.on_listing(listed, 0.0)
-        asked: list[str] = []
+        probed: list[str] = []
         for step in range(1, 201):
             for probe in coordinator.due_probes(step * 0.05):
-                asked.append(probe.record.instance)
+                probed.append(probe.record.instance)
                 state = EngineState(DomainId("d"))
                 coordinator.on_state(probe.record.instance, state, step * 0.05)
-        self.assertLess(len(asked), 1100)
-        self.assertEqual(500, len(set(asked[:500])))
+        self.assertLess(len(probed), 1100)
+        self.assertEqual(500, len(set(probed[:500])))
         changed = replace(listed[7], engine=EngineState(DomainId("d"), staged=(LARGE.name,)))
         coordinator.on_listing([*listed[:7], changed, *listed[8:]], 10.0)
         due = coordinator.due_probes(10.0 + SPEC.report_lag_s + 0.05)
@@ -79,13 +79,13 @@
         state = CoordinatorState(TUNING)
         record = EngineRecord(LISTED, EngineState(DomainId("d")), observed_s=9.0)
         leave = Leave(GroupId("g"), Epoch(1))
-        self.assertTrue(state.order(record, leave, 10.0))
-        record.pending, record.taken = None, True
-        self.assertFalse(state.order(record, leave, 11.0))
+        self.assertTrue(state.issue_order(record, leave, 10.0))
+        record.pending_order, record.order_accepted = None, True
+        self.assertFalse(state.issue_order(record, leave, 11.0))
         record.observed_s = 10.5
-        self.assertTrue(state.order(record, leave, 11.0))
-        record.pending = None
-        self.assertTrue(state.order(record, leave, 11.0 + TUNING.order_unseen_retry_s))
+        self.assertTrue(state.issue_order(record, leave, 11.0))
+        record.pending_order = None
+        self.assertTrue(state.issue_order(record, leave, 11.0 + TUNING.order_unseen_retry_s))
 
     def test_an_engine_whose_listing_changed_is_asked_once_its_report_shows_that(self) -> None:
         coordinator = Coordinator(TUNING)
