--- a/tests/direct/test_shares.py
+++ b/tests/direct/test_shares.py
@@ -20,19 +20,19 @@
         self.assertEqual((0.75, 0.25), self.shares(3.0, 1.0))
         self.assertEqual((0.5, 0.5), self.shares(0.1, 0.1))
 
-    def test_one_that_is_missing_counts_nothing(self) -> None:
+    def test_an_invalid_share_counts_as_zero(self) -> None:
         for missing in (0.0, -1.0, math.nan, math.inf):
             self.assertEqual((0.0, 1.0), self.shares(missing, 0.4))
 
-    def test_without_any_each_model_has_an_equal_part(self) -> None:
+    def test_without_any_share_models_are_equal(self) -> None:
         self.assertEqual((0.5, 0.5), self.shares(0.0, 0.0))
 
-    def test_first_needs_go_by_the_same_shares(self) -> None:
+    def test_initial_demand_follows_the_same_shares(self) -> None:
         """Guards against needs and bounds on engines that read a share in two ways."""
-        needs = [
-            Demand().needs(
+        model_demand = [
+            Demand().by_model(
                 replace(SPEC, models=(replace(LARGE, share=a), replace(SMALL, share=b))), 24
             )
             for a, b in ((0.2, 0.2), (0.0, 0.0), (5.0, 5.0))
         ]
-        self.assertEqual([needs[0]] * 3, needs)
+        self.assertEqual([model_demand[0]] * 3, model_demand)
--- a/tests/direct/test_staging.py
+++ b/tests/direct/test_staging.py
@@ -29,7 +29,7 @@
         )
         self.assertLessEqual(self.loads_begun(first_start=False), at_most)
 
-    def test_first_loads_wait_until_the_list_is_whole(self) -> None:
+    def test_first_loads_wait_until_the_list_is_complete(self) -> None:
         world = EngineWorld(domains=0, lag_s=0.1)
         for number in range(6):
             world.add(NEAR).listed_s = world.now_s + 0.4 * number
@@ -37,7 +37,7 @@
         self.assertFalse(any(each.loading for each in world.engines.values()))
         world.run_until(lambda: any(each.loading for each in world.engines.values()), 3.0)
 
-    def test_the_small_models_weights_stand_beside_large_groups_before_the_work_is_known(
+    def test_small_weights_are_staged_on_large_groups_before_demand_is_known(
         self,
     ) -> None:
         world = EngineWorld(
@@ -51,7 +51,7 @@
 
 
 class StagingTests(testtools.TestCase):
-    def test_an_engine_that_loads_is_not_taken_for_one_that_can_join(self) -> None:
+    def test_a_loading_engine_is_not_asked_to_join(self) -> None:
         """Joining waits for the load, which may push out what it needs: six seconds lost."""
         world = EngineWorld(domains=0)
         for _ in range(LARGE.size):
@@ -68,7 +68,7 @@
         )
         self.assertNotIn(added.instance, [i for each in rest for i in world.engines[each].members])
 
-    def test_weights_that_an_awaited_group_needs_are_not_pushed_out(self) -> None:
+    def test_weights_that_an_awaited_group_needs_are_not_evicted(self) -> None:
         world = EngineWorld(domains=0)
         for staged in (LARGE,) * 3 + (SMALL,) * 6:
             world.add(NEAR, staged.name)
--- a/tests/direct/test_swapping.py
+++ b/tests/direct/test_swapping.py
@@ -25,7 +25,7 @@
         world.engines[slow].pace = SLOW
         return slow
 
-    def test_a_member_that_turns_slow_is_swapped_for_a_free_engine(self) -> None:
+    def test_a_slow_member_is_swapped_for_a_free_engine(self) -> None:
         world = self.world(3)
         slow = self.slow_down(world)
         took_s = world.run_until(
@@ -41,7 +41,7 @@
         self.assertEqual(1, world.serving(SMALL))
         self.assertIn(slow, world.members(SMALL))
 
-    def test_it_can_be_switched_off(self) -> None:
+    def test_swapping_can_be_disabled(self) -> None:
         world = self.world(3, swapping=False)
         slow = self.slow_down(world)
         world.run(6.0)
--- a/tests/standins/test_grouplab.py
+++ b/tests/standins/test_grouplab.py
@@ -69,7 +69,7 @@
             if group.phase is GroupPhase.SERVING and day.servers[group.group].running
         )
         under_way = list(day.servers[group.group].running)
-        group.close_at_most_s = 30.0
+        group.close_timeout_s = 30.0
         group.enter(GroupPhase.CLOSING, day.world.now_s, PhaseCause.TRADED)
         while group.cause is PhaseCause.TRADED:
             day.play_until(day.played_s + STEP_S)
