--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/__init__.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Deciding which engines form groups, and which orders bring that about."""
+"""Decides which engines form groups and which orders are sent to them."""
 
 from ochreway_direct.coordinator.assignment import Assignment
 from ochreway_direct.coordinator.coordinator import Coordinator
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/arrangement.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/arrangement.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Finding domains for given numbers of groups, within bounds for each place."""
+"""Assignment of given numbers of groups to domains, within bounds per domain and model."""
 
 import math
 from collections import Counter
@@ -14,15 +14,15 @@
 from ochreway_direct.ids import ModelName
 
 MAX_TRIES = 4000
-"""How many ways to fill a domain are tried in one search; some 5 us each."""
+"""Bounds the ways to fill a domain that one search tries; each takes about 5 us."""
 
 GroupCounts = tuple[int, ...]
-"""A number of groups for each model, in the order of the models."""
+"""Number of groups of each model, in the order of the models."""
 
 
 @dataclass(slots=True)
 class _Search:
-    """Go through the domains, the roomiest first, and turn back where the rest does not fit."""
+    """Backtracking search over the domains, the largest first."""
 
     models: Sequence[ModelSpec]
     capacities: Mapping[DomainId, Capacity]
@@ -39,7 +39,7 @@
         )
 
     def run(self, totals: GroupCounts) -> bool:
-        """Place so many groups of each model; return whether all of them found room."""
+        """Place the given number of groups of each model; return whether all of them fit."""
         remaining = [totals]
         options = [self._options(totals)]
         while options:
@@ -67,12 +67,12 @@
             self.placed.pop()
 
     def _may_fit(self, at: int, left: GroupCounts) -> bool:
-        """Tell whether the domains from one on have engines enough, whatever their abilities."""
+        """Return whether the domains from ``at`` on have enough engines of any ability."""
         demanded = sum(m.size * number for m, number in zip(self.models, left, strict=True))
         return demanded <= sum(self.capacities[domain].total for domain in self.domain_order[at:])
 
     def _options(self, left: GroupCounts) -> Iterator[GroupCounts]:
-        """Yield the groups that the next domain can have, the most even numbers first."""
+        """Yield the group counts that the next domain can have, the most even ones first."""
         at = len(self.placed)
         if (
             at == len(self.domain_order)
@@ -116,14 +116,14 @@
     min_groups: Mapping[GroupSlot, int],
     max_groups: Mapping[ModelName, int],
 ) -> Counter[GroupSlot] | None:
-    """Return places for so many groups of each model, or None where the search found none.
+    """Return a domain for each of the given groups, or None if the search finds no solution.
 
     Args:
         models: the models.
-        totals: the number of groups of each.
-        rooms: the usable engines of each domain.
-        at_least: the groups that a place has to have.
-        at_most: the groups of a model that a domain may have, unless it has to have more.
+        totals: the number of groups of each model.
+        capacities: the usable engines of each domain.
+        min_groups: the groups that a group slot must have.
+        max_groups: the groups of a model that a domain may have, unless ``min_groups`` is higher.
     """
     search = _Search(models, capacities, min_groups, max_groups)
     if not search.run(tuple(totals.get(model.name, 0) for model in models)):
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/assignment.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/assignment.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An order on its way to one engine."""
+"""Order addressed to one engine."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """Pair an order with the engine that has to carry it out."""
+    """Order and the engine that has to carry it out."""
 
     instance: InstanceId
     address: str
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/candidates.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/candidates.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The engines that may get weights, with the best load of each domain at hand."""
+"""Priority queue of the loads of weights that may begin, with the best load of each domain."""
 
 from collections import defaultdict
 from collections.abc import Callable, Hashable, Iterable
@@ -12,26 +12,26 @@
 from ochreway_direct.coordinator.enginerecord import EngineRecord
 
 UTILITY_DIGITS = 3
-"""How finely loads are told apart by their worth; of like ones the engine that loses least goes."""
+"""Decimal places to which utilities are compared; among equal loads, ``Use`` decides the order."""
 
 
 class Use(IntEnum):
-    """Say what an engine is doing, in the order in which engines are given weights."""
+    """Current use of an engine, in the order in which engines are chosen for a load."""
 
     EMPTY = 0
-    """It is free and can serve nothing."""
+    """Free, and cannot serve any model."""
     KEEPS_LAST_MODEL = 1
-    """It is free, and can serve its last model whatever is loaded."""
+    """Free, and can serve its last model even after another load."""
     SURPLUS = 2
-    """Its group is one too many."""
+    """Member of a group that exceeds the plan."""
     HAS_STAGED = 3
-    """It is free, and other weights would push out those that it has."""
+    """Free, and a load would evict the weights that it has staged."""
     SERVING = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Pair an engine with the model whose weights it should get, and what that is worth."""
+    """Load of a model's weights on an engine, and its utility."""
 
     record: EngineRecord
     model: ModelSpec
@@ -40,16 +40,16 @@
 
     @property
     def rank(self) -> tuple[float, Use]:
-        """Return a key that is the least for the load to begin first."""
+        """Return the sort key; the load with the lowest key begins first."""
         return -round(self.utility, UTILITY_DIGITS), self.use
 
 
 class Candidates:
-    """Give the best loads one after the other.
+    """Return the best loads one by one.
 
-    What a load is worth depends on its domain's engines and on totals that loads do not change, so
-    only the domain of the last one is looked at again, and of engines that are alike only one. Each
-    engine and model looked at for each load took an entry some 20 s at 3,000 engines.
+    The utility of a load depends on the engines of its domain and on totals that loads do not
+    change. After a load, only its domain is evaluated again, and only one engine of each kind.
+    Evaluating each engine and model for each load took an entry about 20 s at 3,000 engines.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         kind_of: Callable[[EngineRecord], Hashable],
         best: Callable[[Iterable[EngineRecord]], Load | None],
     ) -> None:
-        """Start with engines; ``best`` returns the best load among some of one domain."""
+        """Group the engines by kind; ``best`` returns the best load of some engines of a domain."""
         self._best = best
         self._kinds: dict[DomainId, dict[Hashable, list[EngineRecord]]] = defaultdict(dict)
         for record in records:
@@ -76,11 +76,11 @@
             heappush(self._queue, (load.rank, domain))
 
     def peek(self) -> Load | None:
-        """Return the best load, which stays the first until it was begun."""
+        """Return the best load, or None; it remains the best until it is marked as begun."""
         return self._loads[self._queue[0][1]] if self._queue else None
 
     def mark_begun(self, load: Load) -> None:
-        """Take the first load out, and look at its domain again."""
+        """Remove the best load and evaluate its domain again."""
         heappop(self._queue)
         domain = load.record.domain
         kinds = self._kinds[domain]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/capacities.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/capacities.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Counting the engines of each domain by the models whose groups they can join."""
+"""Capacity of each domain, now and after loading weights."""
 
 from collections import Counter, defaultdict
 from collections.abc import Mapping
@@ -15,9 +15,9 @@
 def current_capacities(
     state: CoordinatorState, spec: EngineSpec, census: Census
 ) -> dict[DomainId, Capacity]:
-    """Count engines that are in groups, free, or about to be, by the weights that they have.
+    """Count engines that are in groups, free or about to be free, by the weights that they have.
 
-    Where no engine of a domain has any weights, all can join any model by loading them.
+    If no engine of a domain has any weights, all can join any model by loading them.
     """
     counts_by_domain: dict[DomainId, Counter[Ability]] = defaultdict(Counter)
     for domain in {group.domain for group in census.groups} | census.free.keys():
@@ -37,7 +37,7 @@
 def capacities_after_loading(
     spec: EngineSpec, capacities: Mapping[DomainId, Capacity]
 ) -> dict[DomainId, Capacity]:
-    """Return the same rooms as if every engine had the weights that are asked of it."""
+    """Return the same capacities as if every engine had all weights."""
     return {
         domain: Capacity({_all_models(spec): room.total}) for domain, room in capacities.items()
     }
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/capacity.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/capacity.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The engines of a fabric domain, by the models whose groups they can join."""
+"""Engines of a fabric domain, by the models whose groups they can join."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,12 +8,12 @@
 from ochreway_direct.ids import ModelName
 
 Ability = frozenset[ModelName]
-"""The models whose groups an engine can join."""
+"""Models whose groups an engine can join."""
 
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """Count the engines of a domain by their abilities."""
+    """Number of engines of a domain with each ability."""
 
     engines: Mapping[Ability, int] = field(default_factory=dict)
 
@@ -23,10 +23,10 @@
         return sum(self.engines.values())
 
     def fits(self, members: Mapping[ModelName, int]) -> bool:
-        """Tell whether there are engines for so many members of each model at once.
+        """Return whether there are engines for the given members of all models together.
 
-        That is so when each set of models has as many engines that can join any of them as it
-        asks for (Hall's condition).
+        This holds if, for each set of models, the engines that can join any of them are at least as
+        many as the members of these models (Hall's condition).
         """
         if sum(members.values()) > self.total:
             return False
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/census.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/census.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What the engines of a service are at the beginning of a step, counted in one pass."""
+"""Engines and groups of a service at the beginning of a tick, counted in one pass."""
 
 from collections import Counter, defaultdict
 from dataclasses import dataclass
@@ -14,17 +14,17 @@
 RELEASING_PHASES = frozenset({GroupPhase.CLOSING, GroupPhase.DISSOLVING})
 
 EnginesByDomain = defaultdict[DomainId, list[EngineRecord]]
-"""Engines by their domain."""
+"""Engines of each fabric domain."""
 
 
 @dataclass(frozen=True, slots=True)
 class Census:
-    """Hold a service's engines and groups by domain, without halls that are drained.
+    """Engines and groups of a service by domain, without drained halls.
 
-    ``free`` engines can become members, and whoever forms a group takes its members out of it.
-    ``survivors`` are usable engines that groups are about to release. A domain is ``warm`` when
-    an engine there that no group holds has weights or is getting some. ``standing`` counts the
-    groups that form or serve at each place.
+    ``free`` engines can become members; whoever forms a group removes its members from ``free``.
+    ``survivors`` are usable engines that groups are about to release. A domain is in
+    ``warm_domains`` if an engine there that belongs to no group has weights or is loading some.
+    ``current`` counts the forming and serving groups of each group slot.
     """
 
     free: EnginesByDomain
@@ -66,7 +66,7 @@
 def _usable_member(
     state: CoordinatorState, group: GroupRecord, instance: InstanceId
 ) -> EngineRecord | None:
-    """Return a member that is still to be released and can serve on elsewhere."""
+    """Return a member that is not released yet and can serve in another group."""
     record = state.engines.get(instance)
     if record is None or instance in group.released or not record.usable:
         return None
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/coordinator.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/coordinator.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The decisions of the process that forms groups, without input or output."""
+"""Decision logic of the process that forms groups, without I/O."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -27,15 +27,15 @@
 from ochreway_direct.platformhealth import NEVER_S
 
 REPLAN_INTERVAL_S = 0.2
-"""How soon a plan is looked at again though nothing is known to have changed."""
+"""Interval at which a plan is made again if nothing is known to have changed."""
 MIN_REPLAN_INTERVAL_S = 0.02
-"""The least time between two looks: answers of engines come in by the dozen."""
+"""Minimum time between two plans; engine reports arrive by the dozen."""
 MIN_SUSPICION_INTERVAL_S = 0.3
-"""How soon a group may be suspected again: many entries notice the same silence."""
+"""Minimum time between two suspicions of a group; many entries notice the same silence."""
 MIN_PROBE_ALL_INTERVAL_S = 0.3
-"""How soon all engines may be asked again while none answers: a little longer than they have."""
+"""Minimum time between two probes of all engines while none answers; exceeds a probe timeout."""
 PACE_DIGITS = 1
-"""How finely entries are told a group's pace: each difference is news to all of them."""
+"""Decimal places of a group's pace in its view; each difference is sent to all entries."""
 ACCEPTED_OUTCOMES = frozenset({OrderOutcome.HOLDS, OrderOutcome.BEGUN})
 INCONCLUSIVE_OUTCOMES = frozenset(
     {
@@ -48,11 +48,11 @@
 
 
 class Coordinator:
-    """Compare the groups there are with those there should be, and give orders.
+    """Compare the existing groups with the plan and issue orders.
 
-    A group is opened only when each member was seen ready under its name, epoch and list, and
-    an engine joins only when it was seen to be in no group, so a coordinator whose lease has
-    lapsed unnoticed can delay a group but never run two on one engine.
+    A group is opened only after each member was seen ready under the group's name, epoch and member
+    list, and an engine joins only after it was seen to be in no group. A coordinator whose lease
+    has expired unnoticed can therefore delay a group, but never run two groups on one engine.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         tuning: CoordinatorTuning | None = None,
         is_answering: Callable[[GroupId], bool] = lambda _: False,
     ) -> None:
-        """Start without engines; ``heard`` tells whether entries have answers from a group."""
+        """Start without engines; ``is_answering`` returns whether a group answers entries."""
         self.tuning = tuning or CoordinatorTuning()
         self._state = CoordinatorState(self.tuning)
         self._lifecycle = GroupLifecycle(self._state)
@@ -81,28 +81,28 @@
 
     @property
     def engines(self) -> dict[InstanceId, EngineRecord]:
-        """Return every engine that is known."""
+        """Return all known engines."""
         return self._state.engines
 
     @property
     def groups(self) -> dict[GroupId, GroupRecord]:
-        """Return every group that is known."""
+        """Return all known groups."""
         return self._state.groups
 
     @property
     def started(self) -> bool:
-        """Tell whether the engines were asked since this began, so that its views are its own."""
+        """Return whether the engines were probed since ``begin``, so that views are current."""
         return self._started
 
     @property
     def demand(self) -> Demand:
-        """Return the work that is offered."""
+        """Return the offered work."""
         return self._state.demand
 
-    # What is learned.
+    # Inputs
 
     def begin(self, epoch: Epoch, now_s: float, last_models: LastModels | None = None) -> None:
-        """Start with epochs above the one given, and what is known of engines from before."""
+        """Start with epochs above ``epoch`` and the last models that are known of engines."""
         self._last_models = last_models or LastModels()
         self._state.epoch = epoch
         self._began_s = now_s
@@ -115,7 +115,7 @@
         self._formation.plans.clear()
 
     def configure(self, configuration: Configuration) -> None:
-        """Take the engines' figures from a configuration."""
+        """Apply the engine specifications of a configuration."""
         self._state.specs = {
             service.name: service.engine
             for service in configuration.services
@@ -129,9 +129,10 @@
                 )
 
     def set_drained_halls(self, halls: frozenset[HallId]) -> None:
-        """Plan without some halls from now on, and with others that were given back.
+        """Replace the set of drained halls, which the plan leaves out.
 
-        Engines of these are asked at once, as they were asked rarely meanwhile.
+        Engines of halls that are no longer drained are probed at once, as they were probed rarely
+        before.
         """
         restored = self._state.drained_halls - halls
         self._state.drained_halls = halls
@@ -143,10 +144,10 @@
     def on_listing(
         self, targets: Iterable[ListedTarget], now_s: float, regained_s: float = NEVER_S
     ) -> None:
-        """Take the platform's list; an engine that is not on it any more is leaving.
+        """Apply the platform's list; an engine that is no longer listed counts as leaving.
 
-        One that is missing just after an outage of the store, which ended at ``regained_s``,
-        may come back.
+        An engine that is missing shortly after an outage of the store, which ended at
+        ``regained_s``, may be listed again.
         """
         engines = {each.instance: each for each in targets if each.engine is not None}
         unlisted = self._listing.read(engines, now_s, regained_s)
@@ -177,7 +178,7 @@
         record.update_listing(listed, now_s)
 
     def on_state(self, instance: InstanceId, state: EngineState, now_s: float) -> None:
-        """Take an engine's own report."""
+        """Apply an engine's own report."""
         record = self.engines.get(instance)
         if record is None:
             return
@@ -198,7 +199,7 @@
             record.staging = None
 
     def on_silence(self, instance: InstanceId, refused: bool, now_s: float) -> None:
-        """Note that an engine did not answer; nothing listens there when it refused."""
+        """Record a missed probe; if ``refused``, no process listens at the engine's address."""
         record = self.engines.get(instance)
         if record is None:
             return
@@ -218,9 +219,9 @@
         record.dead = True
 
     def _no_other_answered(self, silent: EngineRecord) -> bool:
-        """Tell whether no other engine answered what it was asked since one fell silent.
+        """Return whether no other engine has answered a probe since this one became silent.
 
-        It may be this process, its network or all engines that stand still then, not that one.
+        In that case this process, its network or all engines may have stalled, not that one engine.
         """
         others = [
             each
@@ -230,7 +231,7 @@
         return bool(others) and all(each.answered_s < silent.missed_since_s for each in others)
 
     def _probe_all(self, now_s: float) -> None:
-        """Ask each engine at once, so that it shows soon whose silence it is."""
+        """Probe each engine at once, which soon shows whose silence it is."""
         if now_s - self._probed_all_s < MIN_PROBE_ALL_INTERVAL_S:
             return
         self._probed_all_s = now_s
@@ -238,18 +239,18 @@
             record.probed_s = NEVER_S
 
     def _count_loss(self, record: EngineRecord, now_s: float) -> None:
-        """Count a loss to be expected again; engines of a drained hall may be switched off."""
+        """Record a loss in the loss rate, unless the hall is drained and may be switched off."""
         if not self._state.is_drained(record):
             self._state.loss_meter.record_loss(now_s)
 
     def on_probe_inconclusive(self, instance: InstanceId) -> None:
-        """Note that nothing was learned from a probe; the engine is asked again."""
+        """Record that a probe had no result; the engine is probed again."""
         record = self.engines.get(instance)
         if record is not None:
             record.probe_pending = False
 
     def on_backed_off(self, instance: InstanceId) -> None:
-        """Note that an engine asked to be left alone, so that no group is begun with it."""
+        """Record that an engine requested a backoff; no group is formed with it."""
         record = self.engines.get(instance)
         if record is not None:
             record.probe_pending = False
@@ -259,7 +260,7 @@
     def on_order_outcome(
         self, instance: InstanceId, order: Order, outcome: OrderOutcome, now_s: float
     ) -> None:
-        """Note what became of an order; the next report tells the rest."""
+        """Record the outcome of an order; the engine's next report shows its effect."""
         record = self.engines.get(instance)
         if record is None:
             return
@@ -279,10 +280,10 @@
             record.staging = None
 
     def _on_join_fenced(self, join: Join) -> None:
-        """Give up a group that a member refuses for its epoch; asking again would not help.
+        """Give up a group whose epoch a member refuses, as a retry would be refused too.
 
-        Its engines are free for a group with a newer epoch, if this process still holds the
-        lease: that an engine has seen a newer one suggests that it does not.
+        Its engines are free for a group with a newer epoch, if this process still holds the lease.
+        That an engine has seen a newer epoch suggests that it does not.
         """
         self.fenced_orders += 1
         group = self.groups.get(join.group)
@@ -290,7 +291,7 @@
             group.fenced = True
 
     def suspect(self, group: GroupId, now_s: float) -> None:
-        """Ask a group's members for their state at once."""
+        """Probe the members of a group at once."""
         suspected_group = self.groups.get(group)
         if (
             suspected_group is None
@@ -305,19 +306,19 @@
                 record.probed_s = 0.0
 
     def on_pause(self) -> None:
-        """Forget silences, as this process itself stood still."""
+        """Discard missed probes after this process itself was paused."""
         for record in self.engines.values():
             record.misses = 0
             record.probe_pending = False
 
-    # What is asked for.
+    # Outputs
 
     def due_probes(self, now_s: float) -> list[Probe]:
-        """Return the engines to ask for their state now, and why."""
+        """Return the probes to send now."""
         return self._probing.due(now_s)
 
     def views(self) -> tuple[GroupView, ...]:
-        """Return the groups that take requests."""
+        """Return the groups that accept requests."""
         group_views = []
         for group in self.groups.values():
             leader = self.engines.get(group.leader)
@@ -347,20 +348,20 @@
         return tuple(sorted({self.engines[each].listed.hall for each in group.members}))
 
     def summaries(self) -> tuple[DomainSummary, ...]:
-        """Return what the engines of each domain are doing."""
+        """Return a summary of the engines of each domain."""
         return summarize_domains(self.engines.values(), frozenset(self._state.unreleased_members()))
 
     @property
     def plans(self) -> Mapping[ServiceName, PlanSummary]:
-        """Return the newest plan of each service."""
+        """Return the latest plan of each service."""
         return self._formation.plans
 
     def count_loading(self, service: ServiceName) -> int:
-        """Return how many engines of a service are getting weights."""
+        """Return the number of a service's engines that are loading weights."""
         return self._state.count_loading(service)
 
     def tick(self, now_s: float) -> list[Assignment]:
-        """Return the orders to give now."""
+        """Return the orders to send now."""
         self._state.assignments = []
         self._remove_departed()
         self._finish_startup(now_s)
@@ -383,9 +384,9 @@
             self._staging.order_loads(service, spec, outlook, now_s)
 
     def _check_inherited_loads(self, now_s: float) -> None:
-        """Find out whether the loads that the holder before this one began have been seen.
+        """Check whether the loads that the previous lease holder began have been observed.
 
-        Reports lag, so those of its last moment are shown only by what is asked a while later.
+        Reports lag, so loads that it began last are shown only by probes sent a lag later.
         """
         if self._state.inherited_loads_seen:
             return
@@ -403,10 +404,10 @@
         )
 
     def _plan_due(self, now_s: float) -> bool:
-        """Tell whether to look at what could be formed and loaded.
+        """Return whether to plan groups and loads now.
 
-        That takes a pass over all engines, so it waits for a change, or for a while in which
-        the bound on loads may have allowed more.
+        Planning takes a pass over all engines, so it waits for a change, or for an interval in
+        which the load limit may have allowed more.
         """
         phases = {name: group.phase for name, group in self.groups.items()}
         if phases != self._phases:
@@ -416,10 +417,10 @@
         return elapsed_s >= (MIN_REPLAN_INTERVAL_S if self._changed else REPLAN_INTERVAL_S)
 
     def _startup_settled(self, now_s: float) -> bool:
-        """Tell whether every listed engine was asked since this began, or long enough passed.
+        """Return whether every listed engine was probed since ``begin``, or enough time has passed.
 
-        Where no engine has weights yet the list has to be whole too, as first loads that go by
-        half of it are begun again for the other half.
+        If no engine has weights yet, the list must be complete too: first loads that are planned
+        from half of a list are repeated for the other half.
         """
         passed_s = now_s - self._began_s
         records = self.engines.values()
@@ -431,17 +432,17 @@
         return now_s - self._list_grown_s >= self.tuning.list_whole_s
 
     def _no_weights_seen(self) -> bool:
-        """Tell whether no engine is in a group, has weights or is about to get any."""
+        """Return whether no engine is in a group, has weights or is loading any."""
         return not any(
             record.membership or record.state.staged or record.state.busy
             for record in self.engines.values()
         )
 
     def _finish_startup(self, now_s: float) -> None:
-        """Take into account the loads that the holder before this one may have begun.
+        """Account for loads that the previous lease holder may have begun.
 
-        Those of the last window still go on, as loading takes longer than it. What was not
-        seen yet, or was on an engine that is lost, is allowed for by a share of the bound.
+        Loads of the last window are still in progress, as a load takes longer than the window. A
+        share of the limit is reserved for loads that were not observed yet or are on a lost engine.
         """
         if self._started or not self._startup_settled(now_s):
             return
@@ -455,10 +456,10 @@
                 limit.try_begin(now_s, min(begun, limit.remaining(now_s)))
 
     def _most_silent(self) -> bool:
-        """Tell whether so many engines are silent that the fault cannot be theirs.
+        """Return whether so many engines are silent that the cause cannot be the engines.
 
-        The fault must be this process's own or its network's then. Engines of drained halls do
-        not count, as they may have been switched off.
+        The cause must then be this process or its network. Engines of drained halls do not count,
+        as they may have been switched off.
         """
         expected = [
             each
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/demand.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/demand.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How much work is offered for each model."""
+"""Offered work of each model."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -9,26 +9,26 @@
 from ochreway_direct.ids import ModelName
 
 MIN_DEMAND = 0.05
-"""The least work, in groups kept busy, that a configured model is planned for."""
+"""Minimum work, in groups kept busy, for which a configured model is planned."""
 TYPICAL_SEQUENCES = 8
 CAPACITY_SHARE = 0.7
-"""The share of a group's slots that may be busy without requests having to wait."""
+"""Share of a group's slots that can be busy without requests having to wait."""
 MIN_MEASUREMENT_S = 1.0
-"""How long work is measured before a plan goes by it.
+"""Time for which work is measured before plans use it.
 
-Some 90 requests a second of which 79 are for one model: after one second its share is known to 4 in
-100, which moves a plan by less than one group.
+At 90 requests per second, 79 of them for one model, its share is known to within 4 % after one
+second, which changes a plan by less than one group.
 """
 HEAVY_SHARE = 0.8
-"""The share of the work that one model may turn out to have: on a customer's site it is 0.85."""
+"""Share of the work that one model may have in a scenario; on one site it is 0.85."""
 ASSUMED_BUSY_SHARE = 0.5
-"""The share of all engines that is taken to be busy before any request was seen."""
+"""Share of all engines that is assumed to be busy before the first request."""
 
 
 def work_s(
     spec: EngineSpec, model: ModelName | None, prompt_tokens: int, answer_tokens: int
 ) -> float:
-    """Return how long a request keeps a group busy that runs a typical number of them."""
+    """Return how long a request occupies a group that runs ``TYPICAL_SEQUENCES`` requests."""
     model_spec = spec.model(model) if model is not None else None
     pace = model_spec.pace if model_spec is not None else 1.0
     step_s = spec.token_s(TYPICAL_SEQUENCES)
@@ -38,13 +38,13 @@
 
 @dataclass(slots=True)
 class Demand:
-    """Hold the work offered for each model, in groups kept busy."""
+    """Work offered for each model, in groups kept busy."""
 
     offered: dict[ModelName, float] = field(default_factory=dict)
     measured_since_s: float | None = None
 
     def update(self, offered: Mapping[ModelName, float], now_s: float) -> None:
-        """Take what is offered; it counts once enough of it was seen."""
+        """Apply the offered work; it is used once it was measured for long enough."""
         if sum(offered.values()) <= 0:
             return
         if self.measured_since_s is None:
@@ -54,14 +54,14 @@
 
     @property
     def measured(self) -> bool:
-        """Tell whether enough requests were seen to plan by."""
+        """Return whether enough requests were measured to plan from them."""
         return sum(self.offered.values()) > 0
 
     def scenarios(self, spec: EngineSpec, engines: int) -> tuple[dict[ModelName, float], ...]:
-        """Return the needs that have to be prepared for: until any was measured, unlike ones.
+        """Return the demands to prepare for; before any measurement these are one per model.
 
-        In each of them most of the busy engines are another model's. Weights are loaded for all of
-        them; groups are planned by the needs that the configuration tells.
+        In each of those, most of the busy engines serve a different model. Weights are loaded for
+        all scenarios; groups are planned from the configured shares.
         """
         model_demand = self.by_model(spec, engines)
         if self.measured or len(model_demand) < 2:
@@ -76,7 +76,7 @@
         )
 
     def by_model(self, spec: EngineSpec, engines: int) -> dict[ModelName, float]:
-        """Return the work of each model, from its configured share until any was measured."""
+        """Return the work of each model, from its configured share until it was measured."""
         measured = {m.name: self.offered.get(m.name, 0.0) for m in spec.models}
         if sum(measured.values()) > 0:
             return {name: max(MIN_DEMAND, work) for name, work in measured.items()}
@@ -89,7 +89,7 @@
 def _full_load(spec: EngineSpec, model: ModelSpec, engines: int, share: float) -> float:
     """Return the work that fills a model's share of the engines up to ``CAPACITY_SHARE``.
 
-    A group counts as busy with ``TYPICAL_SEQUENCES``, and has more slots than that.
+    A group counts as busy with ``TYPICAL_SEQUENCES`` requests and has more slots than that.
     """
     groups = ASSUMED_BUSY_SHARE * share * engines / model.size
     return max(MIN_DEMAND, groups * CAPACITY_SHARE * spec.slots / TYPICAL_SEQUENCES)
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/enginerecord.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/enginerecord.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What the coordinator knows of one engine."""
+"""State of one engine as the coordinator knows it."""
 
 from dataclasses import dataclass, field, replace
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Departure:
-    """Name a group that an engine has left, and until when its reports may still name it."""
+    """Group that an engine has left, and the time until which its reports may still name it."""
 
     group: GroupId
     epoch: Epoch
@@ -23,11 +23,12 @@
 
 @dataclass(slots=True)
 class EngineRecord:
-    """Hold an engine's last state, how it answers, and the order it was last given.
+    """Last state of an engine, its probes, and the last order that was sent to it.
 
-    A ``displaced`` one has ended, and another instance answers at its address. One ``backed_off``
-    asked to be left alone, and is given no orders until it has answered again. The first of its
-    ``misses`` in a row was asked at ``missed_since_s``, what it last answered at ``answered_s``.
+    ``displaced``: the engine has ended, and another instance answers at its address.
+    ``backed_off``: the engine requested a backoff, and gets no orders until it answers again.
+    ``missed_since_s`` is when the first of the current ``misses`` was probed, ``answered_s`` when
+    the last answered probe was sent.
     """
 
     listed: ListedTarget
@@ -63,75 +64,75 @@
 
     @property
     def service(self) -> ServiceName:
-        """Return the service that the engine belongs to."""
+        """Return the engine's service."""
         return self.listed.service
 
     @property
     def domain(self) -> DomainId:
-        """Return the fabric domain of the engine."""
+        """Return the engine's fabric domain."""
         return self.state.domain
 
     @property
     def membership(self) -> Membership | None:
-        """Return the membership that was last seen."""
+        """Return the membership that was last reported."""
         return self.state.membership
 
     @property
     def leaving(self) -> bool:
-        """Tell whether the engine has said in its row or a report that it leaves, or is gone."""
+        """Return whether the engine announced that it leaves, or is no longer listed."""
         return self.listed.leaving or self.state.leaving or self.unlisted_since_s is not None
 
     @property
     def usable(self) -> bool:
-        """Tell whether the engine may become a member."""
+        """Return whether the engine can become a member."""
         unavailable = self.dead or self.leaving or self.backed_off
         return not unavailable and self.observed_s > NEVER_S
 
     @property
     def loading(self) -> bool:
-        """Tell whether the engine is getting weights, by its report or by an order."""
+        """Return whether the engine is loading weights, according to its report or an order."""
         return self.staging is not None or self.state.busy
 
     @property
     def group_order_pending(self) -> bool:
-        """Tell whether an order that changes its group is under way."""
+        """Return whether an order that changes the engine's group is in progress."""
         return self.pending_order is not None and not isinstance(self.pending_order, Stage)
 
     def belongs_to(self, group: GroupId, epoch: Epoch) -> bool:
-        """Tell whether the engine was last seen in this group at this epoch."""
+        """Return whether the engine's last report names this group and epoch."""
         member_of = self.membership
         return member_of is not None and member_of.group == group and member_of.epoch == epoch
 
     def holds_rank(self, group: GroupId, epoch: Epoch, rank: int) -> bool:
-        """Tell whether the engine was last seen at its own place in a group.
+        """Return whether the engine's last report names this group, epoch and rank.
 
-        Reports do not name who gives them: one of another place in the group comes from another
-        member, which has started at this one's address.
+        Reports do not name their sender. A report with another rank comes from another member,
+        which has started at this engine's address.
         """
         member_of = self.membership
         return member_of is not None and self.belongs_to(group, epoch) and member_of.rank == rank
 
     def begin_staging(self, model: ModelName, until_s: float) -> None:
-        """Note that the engine is getting a model's weights, until a time at the latest."""
+        """Record that the engine is loading a model's weights, until ``until_s`` at the latest."""
         self.staging = model
         self.staging_until_s = until_s
 
     def assume_left(self, group: GroupId, epoch: Epoch, until_s: float) -> None:
-        """Take it that the engine has left a group; its reports may name it for a while."""
+        """Assume that the engine has left a group; reports may still name it until ``until_s``."""
         self.departure = Departure(group, epoch, until_s)
         if self.belongs_to(group, epoch):
             self.state = replace(self.state, membership=None)
 
     def assume_joined(self, model: ModelName, until_s: float) -> None:
-        """Take it that the engine joins a model; its reports may show the one before for a while.
+        """Assume that the engine joins a model; reports may show the former one until ``until_s``.
 
-        It cannot go back to that one at once any more.
+        The engine can no longer rejoin the former model without loading weights.
         """
         self.last_model = model
         self.last_model_until_s = until_s
 
     def update_listing(self, listed: ListedTarget, now_s: float) -> None:
-        """Take the engine's row; one that says anew for how long it is cold is so from now on."""
+        """Apply the engine's row; a changed cold time counts from now."""
         if listed.cold_s > 0.0 and listed.cold_s != self.listed.cold_s:
             self.cold_until_s = now_s + listed.cold_s
         self.displaced = self.displaced and listed.address == self.listed.address
@@ -139,15 +140,15 @@
         self.unlisted_since_s = None
 
     def mark_displaced(self) -> None:
-        """Take it that another instance answers at the engine's address, as itself has ended."""
+        """Record that the engine has ended and another instance answers at its address."""
         self.displaced = self.dead = True
 
     def has_unreported_change(self, now_s: float) -> bool:
-        """Tell whether the list showed a change that no report has shown yet."""
+        """Return whether the list showed a change that no report has shown yet."""
         return self.observed_s < self.listed_change_due_s <= now_s
 
     def changed_by(self, state: EngineState) -> bool:
-        """Tell whether a report differs in what groups are formed by, not only in load."""
+        """Return whether a report differs in anything that planning uses, apart from load."""
         known = self.state
         return self.observed_s <= NEVER_S or (
             state.membership,
@@ -168,7 +169,7 @@
         )
 
     def observe(self, state: EngineState, asked_s: float) -> None:
-        """Take the engine's own report, but for a group that it has left since."""
+        """Apply the engine's own report, except for a group that it has left since."""
         self.state = state
         self.observed_s = asked_s
         reported_model = state.model if state.membership is not None else None
@@ -178,10 +179,10 @@
             self.assume_left(self.departure.group, self.departure.epoch, self.departure.until_s)
 
     def can_join(self, model: ModelName) -> bool:
-        """Tell whether the engine can join a group of a model without loading weights.
+        """Return whether the engine can join a group of a model without loading weights.
 
-        One that is loading other weights has to finish that first, unless its last group was
-        one of this model.
+        An engine that is loading other weights has to finish that first, unless its last group was
+        of this model.
         """
         return self.last_model == model or (model in self.state.staged and not self.loading)
 
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/formation.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/formation.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Forming the groups that there should be from engines that are free."""
+"""Formation of the planned groups from free engines."""
 
 from collections import Counter, defaultdict
 from collections.abc import Collection, Mapping
@@ -24,12 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Outlook:
-    """Hold the groups that engines could form with other weights, and those that come next.
+    """Result of planning groups, from which loads of weights are planned.
 
-    ``at_once`` holds those that they can form with the weights that they have, and ``missing`` the
-    others, each where the fewest weights are lacking.
-    ``scenarios`` is the work that may be asked for, ``free`` holds the engines that are left, and
-    ``survivors`` those that groups are about to release.
+    ``formable`` holds the groups that engines can form with the weights they have, ``wanted`` those
+    that they could form with any weights. ``missing`` holds the difference, each group where the
+    fewest weights are lacking, and ``awaited`` the group slots that wait for engines. ``scenarios``
+    is the work that may be offered, ``free`` holds the remaining engines, and ``survivors`` those
+    that groups are about to release.
     """
 
     scenarios: tuple[Mapping[ModelName, float], ...]
@@ -43,9 +44,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanSummary:
-    """Hold what a plan was made for, what it asks for, and the groups that stand in domains.
+    """Demand, planned groups and current groups of a plan, the latter inside domains only.
 
-    Needs that were not ``measured`` go by configured shares.
+    A demand that is not ``measured`` is derived from configured shares.
     """
 
     measured: bool
@@ -55,7 +56,7 @@
 
 
 class Formation:
-    """Compare the groups of a service with the plan, and form or give up what differs."""
+    """Compare the groups of a service with the plan, and form or close groups accordingly."""
 
     def __init__(self, state: CoordinatorState) -> None:
         self._state = state
@@ -69,7 +70,7 @@
         self._swapping = Swapping(state)
 
     def form_groups(self, service: ServiceName, spec: EngineSpec, now_s: float) -> Outlook:
-        """Form what can be had at once; return what is awaited, and what weights are for."""
+        """Form the groups that can be formed now; return what remains for loads of weights."""
         census = take_census(self._state, service)
         if self._state.tuning.swapping:
             self._swapping.close_slow_groups(census, now_s)
@@ -119,7 +120,7 @@
         reserved: Mapping[GroupSlot, Collection[InstanceId]],
         now_s: float,
     ) -> set[GroupSlot]:
-        """Form the groups that are wanted; return the places whose engines are still awaited."""
+        """Form the wanted groups; return the group slots that still wait for engines."""
         awaited = set()
         surplus = Counter(census.current)
         surplus.subtract(wanted)
@@ -145,9 +146,9 @@
         reserved: Collection[InstanceId],
         now_s: float,
     ) -> bool:
-        """Form a group; return whether there were engines enough.
+        """Form a group; return whether there were enough engines.
 
-        They have to have the weights, unless no engine of the domain has any yet.
+        The engines must have the weights, unless no engine of the domain has any yet.
         """
         free = census.free[domain]
         joinable = [r for r in free if r.can_join(model.name) and r.instance not in reserved]
@@ -172,9 +173,9 @@
     def _preference(
         self, spec: EngineSpec, model: ModelSpec, record: EngineRecord
     ) -> tuple[bool, int, bool]:
-        """Return a key that is the least for the engine to take first.
+        """Return the sort key; the engine with the lowest key is chosen first.
 
-        Slow ones come last, and those before that can serve other models too.
+        Slow engines come last, preceded by those that can serve other models too.
         """
         others = sum(record.can_join(m.name) for m in spec.models if m.name != model.name)
         slow = record.state.pace > self._state.tuning.fit_pace
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/grouprecord.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/grouprecord.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What the coordinator knows of one group."""
+"""State of one group as the coordinator knows it."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -9,11 +9,11 @@
 
 NEVER_S = -1.0e9
 SPANNING = DomainId("")
-"""Stands for the domain of a group whose members are in several."""
+"""Domain of a group whose members are in several domains."""
 
 
 class GroupPhase(Enum):
-    """Say what the coordinator is doing with a group."""
+    """Phase of a group in the coordinator."""
 
     FORMING = "forming"
     SERVING = "serving"
@@ -22,7 +22,7 @@
 
 
 class PhaseCause(Enum):
-    """Say why a group entered its phase."""
+    """Reason for which a group entered its phase."""
 
     BEGUN = "begun"
     ADOPTED = "adopted"
@@ -32,25 +32,26 @@
     MEMBER_BROKEN = "member_broken"
     MEMBER_LEAVING = "member_leaving"
     HALL_DRAINED = "hall_drained"
-    """A member's hall is drained, and the others are of use elsewhere."""
+    """A member's hall is drained, and the other members can be used elsewhere."""
     FENCED = "fenced"
     TOO_LATE = "too_late"
     SHUT = "shut"
-    """Its leader reports that it takes nothing more."""
+    """The leader reports that it accepts no more requests."""
     ENDED = "ended"
-    """Its requests have ended."""
+    """The group's requests have ended."""
     OVERDUE = "overdue"
-    """Its requests had their time, and some may still run."""
+    """The time for the group's requests is over, and some may still run."""
     TRADED = "traded"
     SWAPPED = "swapped"
 
 
 @dataclass(slots=True)
 class GroupRecord:
-    """Hold a group's members, the first of which leads, and those that were seen ready.
+    """Members and phase of a group; the first member is the leader.
 
-    A ``fenced`` group was refused by a member that has seen a newer epoch. ``blamed`` is the member
-    that the newest change is for, if it is for one.
+    ``ready`` holds the members that were seen ready. A ``fenced`` group was refused by a member
+    that has seen a newer epoch. ``blamed`` is the member that caused the latest phase change, if
+    any.
     """
 
     group: GroupId
@@ -74,7 +75,7 @@
 
     @property
     def leader(self) -> InstanceId:
-        """Return the member that takes the group's requests."""
+        """Return the member that accepts the group's requests."""
         return self.members[0]
 
     def enter(
@@ -84,7 +85,7 @@
         cause: PhaseCause,
         blamed: InstanceId | None = None,
     ) -> None:
-        """Begin a phase for a reason."""
+        """Enter a phase."""
         self.phase = phase
         self.cause = cause
         self.blamed = blamed
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/layout.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/layout.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How many groups of each model every fabric domain should have."""
+"""Number of groups of each model that every fabric domain should have."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
@@ -16,7 +16,7 @@
 from ochreway_direct.ids import ModelName
 
 MAX_BALANCING_ROUNDS = 4
-"""How often groups are spread anew and engines that this leaves over are used."""
+"""Bounds how often groups are redistributed and the engines left over are used."""
 
 
 def plan(
@@ -28,25 +28,25 @@
     tuning: CoordinatorTuning,
     min_utility: float | None = None,
 ) -> Counter[GroupSlot]:
-    """Return the number of groups for each place.
+    """Return the number of groups for each group slot.
 
-    Groups are added as long as all of them find room, the one that adds most for each engine
-    first. Before any work was measured (``least_gain`` is 0) each model has a group where one fits,
-    however small its share of the work, and further groups of a model count for nothing beyond the
+    Groups are added while all of them fit, the one with the highest utility per engine first.
+    Before any work was measured (``min_utility`` is 0) each model gets a group where one fits,
+    however small its share of the work, and further groups of a model have no utility beyond the
     same share of the engines, so that engines left over go to the model with the smallest groups.
-    On three domains of 37 engines, with groups of 16 and 4 and half of the work each, that is 3 and
-    15 groups in place of 5 and 7. No domain then has more than half of a model's groups, rounded
-    up, where as many groups can be placed otherwise.
+    On three domains of 37 engines, with groups of 16 and 4 and half of the work each, that gives 3
+    and 15 groups instead of 5 and 7. No domain then has more than half of a model's groups, rounded
+    up, if as many groups can be placed that way.
 
     Args:
         spec: the models and their sizes.
-        scenarios: the work that may be offered for each model, in groups kept busy; what a group
-            adds is its mean over them.
-        rooms: the usable engines of each domain, by the models whose groups they can join.
-        standing: the groups there are, which are preferred to new ones.
-        down: the share of the time for which one engine's loss takes its group down.
+        scenarios: the work that may be offered for each model, in groups kept busy; the utility of
+            a group is its mean over them.
+        capacities: the usable engines of each domain, by the models whose groups they can join.
+        current: the current groups, which are preferred to new ones.
+        downtime_share: the share of time for which the loss of one engine stops its group.
         tuning: the weights.
-        least_gain: what a group has to add for each of its engines, if not what the weights say.
+        min_utility: the utility per engine that a group needs, if not that of ``tuning``.
     """
     threshold = tuning.least_gain if min_utility is None else min_utility
     layout = _Layout(spec, scenarios, capacities, current, downtime_share, tuning, threshold)
@@ -58,7 +58,7 @@
 
 
 class _Layout:
-    """Hold the groups that were planned so far, and what one more is worth."""
+    """Groups planned so far, and the utility of one more."""
 
     def __init__(
         self,
@@ -84,8 +84,8 @@
         self._engines = sum(room.total for room in capacities.values())
 
     def fill(self) -> None:
-        """Add groups while one more is worth its engines and finds room."""
-        # What finds no room for one more group finds none once there are more of others.
+        """Add groups while one more has enough utility and fits."""
+        # A model without capacity for one more group has none after groups of others are added.
         possible = list(self._spec.models)
         while possible:
             model = max(possible, key=self._preference)
@@ -95,7 +95,7 @@
                 possible.remove(model)
 
     def cover_every_model(self) -> None:
-        """Plan anew round one group of each model, where more models have one then.
+        """Plan again from one group of each model, if more models get a group that way.
 
         A model without a group refuses all of its callers; one that has many can spare a few.
         """
@@ -114,7 +114,7 @@
             self.fill()
 
     def balance(self) -> None:
-        """Move new groups of which one domain has more than half, and use what that leaves over."""
+        """Move new groups if one domain has more than half, and use the engines left over."""
         for _ in range(MAX_BALANCING_ROUNDS):
             arranged = self._balanced_arrangement()
             if arranged is None:
@@ -122,7 +122,7 @@
             self._restart_with(arranged)
             self.fill()
 
-    # What a group is worth.
+    # Utility of groups
 
     def _value(self, model: ModelSpec) -> float:
         if not self._threshold and self._beyond_share(model):
@@ -132,7 +132,7 @@
         return utility * (self._tuning.keep_bonus if is_current else 1.0)
 
     def _utility_per_engine(self, model: ModelSpec) -> float:
-        """Return what one more group adds for each of its engines, on average."""
+        """Return the mean utility of one more group, per engine."""
         groups = self._totals[model.name]
         utility = sum(
             marginal_utility(
@@ -147,19 +147,19 @@
         return engines > self._shares[model.name] * self._engines
 
     def _preference(self, model: ModelSpec) -> tuple[float, int]:
-        """Prefer what adds most; where nothing adds anything, groups that take fewest engines.
+        """Return the sort key of a model: the utility, then the smaller group size.
 
-        If the expected work turns out to be wrong, many small groups can serve more requests with
+        If the expected demand turns out to be wrong, many small groups can serve more requests with
         the spare engines than a few large ones.
         """
         return max(self._value(model), self._tuning.least_gain), -model.size
 
-    # Where groups go.
+    # Placement of groups
 
     def _add(self, model: ModelSpec) -> bool:
-        """Place one more group; return whether it found room.
+        """Place one more group; return whether it fits.
 
-        Where it finds none beside the others, all are placed anew, larger ones first.
+        If it does not fit beside the others, all groups are placed again, larger ones first.
         """
         if not self.placement.add(model):
             rebuilt = self._rebuilt_with(model)
@@ -184,9 +184,9 @@
     def _arranged_with(
         self, covered: Mapping[ModelName, int], model: ModelSpec
     ) -> Counter[GroupSlot] | None:
-        """Return places for one group of each of some models and a further one, if there are any.
+        """Return group slots for one group of each covered model and of one more, if they all fit.
 
-        Groups that stand keep their place where the others find one beside them.
+        Current groups keep their domain if the others fit beside them.
         """
         wanted = {**covered, model.name: 1}
         current_slots = sorted(
@@ -203,7 +203,7 @@
         )
 
     def _balanced_arrangement(self) -> Counter[GroupSlot] | None:
-        """Return places for as many groups, such that fewer models have over half in a domain."""
+        """Return slots for the same groups so that fewer models have over half in one domain."""
         placed = self.placement.placed
         over = _over_half(placed)
         if not over:
@@ -223,7 +223,7 @@
 
 
 def _over_half(placed: Mapping[GroupSlot, int]) -> set[ModelName]:
-    """Return the models of which a domain has more than half of the groups."""
+    """Return the models that have more than half of their groups in one domain."""
     totals = groups_per_model(placed)
     return {slot.model for slot, number in placed.items() if number > _half(totals[slot.model])}
 
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/lifecycle.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/lifecycle.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What is done with a group in each of its phases."""
+"""Actions on a group in each of its phases."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -23,26 +23,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """Hold why a group cannot go on, and the member that it is for."""
+    """Reason for which a group has to end, and the member that caused it."""
 
     cause: PhaseCause
     blamed: InstanceId | None = None
 
 
 class GroupLifecycle:
-    """Bring groups from forming to serving, and release the members of lost ones."""
+    """Advance groups from forming to serving, and release the members of lost ones."""
 
     def __init__(self, state: CoordinatorState) -> None:
         self._state = state
 
     def advance(self, now_s: float) -> None:
-        """Take over groups that are reported, then see to each."""
+        """Adopt reported groups, then advance each group."""
         self._adopt_reported(now_s)
         for group in list(self._state.groups.values()):
             self._PHASE_HANDLERS[group.phase](self, group, now_s)
 
     def on_order_accepted(self, record: EngineRecord, order: Order, now_s: float) -> None:
-        """Note that an engine carries an order out, and when its reports will show that."""
+        """Record that an engine carries out an order, and when its reports will show it."""
         reported_from_s = now_s + self.report_lag_s(record.service)
         match order:
             case Leave(group, epoch):
@@ -57,7 +57,7 @@
                 pass
 
     def report_lag_s(self, service: ServiceName) -> float:
-        """Return how old what engines report may be."""
+        """Return the maximum age of what a service's engines report."""
         spec = self._state.specs.get(service)
         return spec.report_lag_s if spec is not None else 0.0
 
@@ -74,7 +74,7 @@
         return spec.form_s if spec is not None else 0.0
 
     def _adopt_reported(self, now_s: float) -> None:
-        """Take over whole groups that engines report; dissolve what is left of others."""
+        """Adopt complete groups that engines report; dissolve what remains of others."""
         unknown_groups: dict[tuple[GroupId, Epoch], dict[int, EngineRecord]] = defaultdict(dict)
         for record in self._state.engines.values():
             membership = record.membership
@@ -116,7 +116,7 @@
             self._state.issue_order(record, Leave(group, epoch), now_s)
 
     def _fatal_loss(self, group: GroupRecord) -> Loss | None:
-        """Return why a group cannot go on, if it cannot: a member is lost, or refuses to join."""
+        """Return why a group has to end, if a member is lost or refused to join."""
         if group.fenced:
             return Loss(PhaseCause.FENCED)
         for instance in group.members:
@@ -137,7 +137,7 @@
         return None
 
     def _partly_drained(self, group: GroupRecord) -> Loss | None:
-        """Return the loss of a group just begun with some, not all, members in drained halls."""
+        """Return the loss of a newly begun group with some, not all, members in drained halls."""
         if group.cause is not PhaseCause.BEGUN:
             return None
         records = [self._state.engines[instance] for instance in group.members]
@@ -205,7 +205,7 @@
             group.enter(GroupPhase.CLOSING, now_s, closing_cause.cause, closing_cause.blamed)
 
     def _report_is_current(self, leader: EngineRecord, group: GroupRecord) -> bool:
-        """Tell whether a leader's report is of the time since its group's phase began."""
+        """Return whether a leader's report dates from the group's current phase."""
         return leader.observed_s > group.since_s + self.report_lag_s(group.service)
 
     def _advance_closing(self, group: GroupRecord, now_s: float) -> None:
@@ -226,7 +226,7 @@
             group.enter(GroupPhase.DISSOLVING, now_s, PhaseCause.ENDED)
 
     def _advance_dissolving(self, group: GroupRecord, now_s: float) -> None:
-        """Release each member when it was seen, after this began, to have left."""
+        """Release each member once a report since the phase began shows that it has left."""
         for instance in group.members:
             record = self._state.engines.get(instance)
             if record is None or record.dead:
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/loadworth.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/loadworth.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What it is worth to have one more engine of a domain that can serve a model."""
+"""Utility of one more engine in a domain that can serve a model."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -10,18 +10,18 @@
 from ochreway_direct.ids import ModelName
 
 LOAD_HORIZON_S = 30.0
-"""How far ahead a load is valued: two loads of a large model."""
+"""Time over which a load is valued, about two loads of a large model."""
 SERVING_SUBSTITUTE_SHARE = 0.5
-"""What an engine that serves counts as a substitute against one that is free."""
+"""Weight of a serving engine as a substitute, compared with a free one."""
 
 
 @dataclass(slots=True)
 class Inventory:
-    """Count what a domain has for a model.
+    """Groups of a model in a domain, and engines that could join one.
 
-    ``missing`` groups are planned and lack weights, ``standing`` ones do not. ``free`` engines
-    could join one at once; ``surplus`` ones could once their group, which is one too many, is
-    given up; ``beside`` ones could too, but serve another model that is wanted.
+    ``missing`` groups are planned and lack weights, ``current`` ones do not. ``free`` engines could
+    join at once. ``surplus`` engines could join after their group, which exceeds the plan, is
+    closed. ``serving`` engines could too, but serve another model that is wanted.
     """
 
     missing: int = 0
@@ -33,10 +33,10 @@
 
 @dataclass(slots=True)
 class LoadUtility:
-    """Value loads by the work that they let be served, in groups kept busy times seconds.
+    """Utility of loads: the work that they allow to be served, in groups kept busy times seconds.
 
-    A load brings a planned group nearer, and provides a substitute, without which the next loss of
-    a member stops its group for as long as a load takes.
+    A load completes a planned group sooner, and provides a substitute. Without a substitute, the
+    next loss of a member stops its group for the time of a load.
     """
 
     spec: EngineSpec
@@ -47,16 +47,16 @@
     inventories: dict[GroupSlot, Inventory] = field(default_factory=dict)
 
     def inventory(self, slot: GroupSlot) -> Inventory:
-        """Return what a place has."""
+        """Return the inventory of a group slot."""
         return self.inventories.setdefault(slot, Inventory())
 
     def of_engine(self, slot: GroupSlot, is_free: bool, completes: bool) -> float:
-        """Return the worth of one more able engine.
+        """Return the utility of one more engine that can serve a model.
 
         Args:
-            slot: its domain, and the model that it would be able to serve.
+            slot: the engine's domain, and the model that it would be able to serve.
             is_free: whether it serves nothing now.
-            completes: whether it could become a member of a group that is planned.
+            completes: whether it could become a member of a planned group.
         """
         inventory = self.inventory(slot)
         substitute = self._substitute(slot.model, inventory) * (
@@ -65,7 +65,7 @@
         return substitute + (self._completion(slot.model, inventory) if completes else 0.0)
 
     def of_last_free(self, slot: GroupSlot) -> float:
-        """Return the worth of one of the free engines that there are."""
+        """Return the utility of the last of the free engines that can join."""
         inventory = self.inventory(slot)
         if inventory.free <= 0:
             return 0.0
@@ -75,11 +75,11 @@
         return utility
 
     def yields_to(self, served: ModelName, other: ModelName) -> bool:
-        """Tell whether a group of one model would be given up to replace a lost one of another."""
+        """Return whether a group of one model would be closed to replace a lost one of another."""
         return self._last_group_utility(other) > self._last_group_utility(served)
 
     def _last_group_utility(self, name: ModelName) -> float:
-        """Return what the last group of a model adds, for each of its engines."""
+        """Return the utility of the last group of a model, per engine."""
         return self._mean_utility(name, self.totals[name] - 1) / self._model(name).size
 
     def _completion(self, name: ModelName, inventory: Inventory) -> float:
@@ -109,7 +109,7 @@
         return model
 
     def _mean_utility(self, name: ModelName, groups: int) -> float:
-        """Return what one more group adds, on average over what may be asked for."""
+        """Return the utility of one more group, averaged over the demand scenarios."""
         model, groups = self._model(name), max(0, groups)
         utilities = [
             marginal_utility(self.spec, model, s[name], groups, self.downtime_share)
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/lossmeter.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/lossmeter.py
@@ -1,25 +1,26 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How often engines are lost."""
+"""Rate at which engines are lost."""
 
 import math
 
 TYPICAL_LOSSES_PER_ENGINE_S = 0.004
-"""What is assumed before any was seen: one of 81 engines each three seconds, as on heavy days."""
+"""Prior loss rate: one of 81 engines every three seconds, as on days with many losses."""
 PRIOR_LOSSES = 2.0
-"""How many losses the assumption counts as much as."""
+"""Number of losses that the prior rate counts as."""
 LOSS_MEMORY_S = 60.0
 MAX_LOSSES_PER_CAUSE = 2
-"""How many losses of the same second count: a domain that goes dark is one cause, not thirty."""
+"""Losses that count within ``SAME_CAUSE_WINDOW_S``; a lost domain is one cause, not thirty."""
 SAME_CAUSE_WINDOW_S = 1.0
 RATE_STEP_FACTOR = 1.25
-"""By which factor the rate moves: each move is a reason to plan anew."""
+"""Factor between steps of the rate; each step triggers a new plan."""
 
 
 class LossMeter:
-    """Hold the rate at which an engine is lost, from what was seen and what is usual.
+    """Estimate of the loss rate of engines, from observed losses and a prior.
 
-    How many groups stand in for others, and how many substitutes are worth a load, depends on it: a
-    site of 24 engines that loses one each three seconds loses three times the share of one of 81.
+    The number of groups that substitute for others, and of substitute engines worth a load, depends
+    on it: a site of 24 engines that loses one every three seconds has three times the rate of one
+    of 81.
     """
 
     def __init__(self) -> None:
@@ -30,7 +31,7 @@
         self._losses_of_cause = 0
 
     def advance(self, engines: int, now_s: float) -> None:
-        """Let time pass with so many engines."""
+        """Advance the clock, with the current number of engines."""
         elapsed_s = now_s - self._advanced_s if self._advanced_s is not None else 0.0
         self._advanced_s = now_s
         decay = math.exp(-elapsed_s / LOSS_MEMORY_S)
@@ -38,7 +39,7 @@
         self._engines_s = self._engines_s * decay + engines * elapsed_s
 
     def record_loss(self, now_s: float) -> None:
-        """Count the loss of an engine; before any time was measured none counts."""
+        """Record the loss of an engine; losses before the first ``advance`` do not count."""
         if self._advanced_s is None:
             return
         if now_s - self._cause_since_s >= SAME_CAUSE_WINDOW_S:
@@ -49,7 +50,7 @@
 
     @property
     def losses_per_engine_s(self) -> float:
-        """Return the rate in whole steps around what is usual."""
+        """Return the losses per engine and second, rounded to whole steps from the typical rate."""
         prior_engines_s = PRIOR_LOSSES / TYPICAL_LOSSES_PER_ENGINE_S
         rate = (PRIOR_LOSSES + self._losses) / (prior_engines_s + self._engines_s)
         steps = round(math.log(rate / TYPICAL_LOSSES_PER_ENGINE_S, RATE_STEP_FACTOR))
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/missing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/missing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Where the groups that lack weights are completed soonest."""
+"""Placement of the groups that lack weights, where they are completed soonest."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -16,14 +16,14 @@
     later: Mapping[GroupSlot, int],
     census: Census,
 ) -> Counter[GroupSlot]:
-    """Return the groups that a plan has more than there can be now, where the most weights are.
+    """Return the groups that cannot be formed yet, each in the domain with the most of its weights.
 
-    A plan for engines with any weights spreads groups over domains; a group that has just lost a
-    member is completed by one load where the others are.
+    A plan for engines with any weights spreads groups over domains. A group that has just lost a
+    member is completed by one load if it is placed where the other members are.
 
     Args:
         spec: the models.
-        at_once: the groups that can be formed with the weights that engines have.
+        formable: the groups that can be formed with the weights that engines have.
         later: the groups that could be formed with any weights.
         census: the engines that are in no group, or about to be in none.
     """
@@ -45,7 +45,7 @@
 
 
 def _joinable_per_domain(model: ModelSpec, census: Census) -> dict[DomainId, int]:
-    """Count the free engines of each domain that could join a group of a model at once."""
+    """Return how many free engines of each domain could join a group of a model at once."""
     return {
         domain: sum(record.can_join(model.name) for record in records)
         for domain, records in census.free.items()
@@ -53,7 +53,7 @@
 
 
 def _claim_fullest(model: ModelSpec, joinable: dict[DomainId, int]) -> DomainId | None:
-    """Return the domain that has most engines for one more group, if half of one at least."""
+    """Claim engines for a group in the domain that has the most, if at least half of a group."""
     best = max(joinable, key=lambda domain: (joinable[domain], domain), default=None)
     if best is None or joinable[best] < model.size / 2:
         return None
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/placement.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/placement.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which domain each planned group goes to."""
+"""Choice of a domain for each planned group."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping
@@ -14,21 +14,21 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class GroupSlot:
-    """Name a place for a group: a domain and a model."""
+    """Domain and model of a group."""
 
     domain: DomainId
     model: ModelName
 
 
 Preference = tuple[bool, int, int, int]
-"""Whether a group would be new there, how many are placed, engines left (negative), the order."""
+"""Whether the group is new, groups placed, engines left (negative), and order of the domain."""
 
 
 class Placement:
     """Place groups one by one.
 
-    A standing group keeps its place; new ones are spread, so that each domain has groups of
-    several models, whose engines can stand in for each other.
+    A current group keeps its domain. New groups are spread, so that each domain has groups of
+    several models, whose engines can substitute for each other.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         models: Iterable[ModelSpec] = (),
         placed: Mapping[GroupSlot, int] | None = None,
     ) -> None:
-        """Begin with the groups of some models that are placed already, if there are any."""
+        """Start with the groups that are already placed, if any."""
         self.capacities = capacities
         self.current = current
         self.placed: Counter[GroupSlot] = Counter()
@@ -51,10 +51,10 @@
             self._place(slot, named[slot.model], number)
 
     def add(self, model: ModelSpec) -> bool:
-        """Place one more group of a model; return whether any domain had room.
+        """Place one more group of a model; return whether any domain has capacity.
 
-        As groups are only added, a place is never preferred more than before, and a domain
-        without room for a group stays so.
+        As groups are only added, a group slot never becomes more preferred, and a domain without
+        capacity for a group remains so.
         """
         queue = self._queues.get(model.name)
         if queue is None:
@@ -84,14 +84,14 @@
         self._members[slot.domain][model.name] += model.size * number
 
     def _preference(self, slot: GroupSlot) -> Preference:
-        """Return a key that is the least for the place to take first."""
+        """Return the sort key; the group slot with the lowest key is chosen first."""
         placed = self.placed[slot]
         is_new = placed >= self.current.get(slot, 0)
         return is_new, placed, -self._remaining[slot.domain], self._order[slot.domain]
 
 
 def groups_per_model(groups: Mapping[GroupSlot, int]) -> Counter[ModelName]:
-    """Return how many groups of each model there are."""
+    """Return the number of groups of each model."""
     totals: Counter[ModelName] = Counter()
     for slot, number in groups.items():
         totals[slot.model] += number
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/planner.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/planner.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Planning again only when something has changed that a plan depends on."""
+"""Cached plan, made again only when its inputs change."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
@@ -14,9 +14,9 @@
 from ochreway_direct.ids import ModelName
 
 DEMAND_STEP = 0.1
-"""By how many groups' work the need of a model has to change before a plan is made anew."""
+"""Change of a model's demand, in groups kept busy, that triggers a new plan."""
 DEMAND_STEP_SHARE = 0.05
-"""The same as a share of the need, where that is more: large sites would plan all the time."""
+"""The same as a share of the demand, if that is more; large sites would plan all the time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
 
 
 class Planner:
-    """Hold the last plan and what it was made from."""
+    """Last plan and its inputs."""
 
     def __init__(self, tuning: CoordinatorTuning) -> None:
         self._tuning = tuning
@@ -46,7 +46,7 @@
         downtime_share: float,
         min_utility: float,
     ) -> Counter[GroupSlot]:
-        """Return the number of groups for each place."""
+        """Return the number of groups for each group slot."""
         rounded = tuple(
             self._rounded_scenario(n, model_demand) for n, model_demand in enumerate(scenarios)
         )
@@ -61,7 +61,7 @@
     def _rounded_scenario(
         self, number: int, model_demand: Mapping[ModelName, float]
     ) -> dict[ModelName, float]:
-        """Return a scenario's needs in whole steps, or those planned for that differ little."""
+        """Return a scenario with rounded demands, or the planned ones where they differ little."""
         before = self._inputs.scenarios if self._inputs is not None else ()
         known = before[number] if number < len(before) else {}
         return {
@@ -71,7 +71,7 @@
 
 
 def _rounded_demand(demand: float, planned: float) -> float:
-    """Return a need in whole steps, or the one planned for while it differs little."""
+    """Return a demand in whole steps, or the planned one while it differs little."""
     if planned and abs(demand - planned) <= max(DEMAND_STEP / 2, DEMAND_STEP_SHARE * demand):
         return planned
     return max(DEMAND_STEP, round(demand / DEMAND_STEP) * DEMAND_STEP)
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/probing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/probing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which engines to ask for their state, and how often, by what is known of them otherwise."""
+"""Scheduling of engine probes, by what is known of the engines from other sources."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,11 +13,11 @@
 
 
 class ProbeCause(Enum):
-    """Say why an engine is asked."""
+    """Reason for probing an engine."""
 
     DEAD = "dead"
     SUSPECTED = "suspected"
-    """Its group fell silent under requests."""
+    """Its group stopped answering requests."""
     UNSETTLED = "unsettled"
     """It has not answered yet, or missed a probe."""
     NEWS = "news"
@@ -28,14 +28,14 @@
     HEARD = "heard"
     """Its group serves, and entries would notice silence."""
     IDLE = "idle"
-    """Its group serves, and nobody is asking anything of it."""
+    """Its group serves, and has no requests."""
     FREE = "free"
     DRAINED = "drained"
-    """Its hall is drained, and nothing may be done there."""
+    """Its hall is drained, so that it gets no orders."""
 
 
 PROBE_BURST_S = 0.5
-"""How much of the rate may be saved up, as engines are asked in bursts."""
+"""Time over which unused probes accumulate, as engines are probed in bursts."""
 
 
 def _periods_s(tuning: CoordinatorTuning) -> dict[ProbeCause, float]:
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Pair an engine with the reason for asking it."""
+    """Engine to probe and the reason."""
 
     record: EngineRecord
     cause: ProbeCause
@@ -64,14 +64,14 @@
 URGENT_CAUSES = frozenset(
     {ProbeCause.SUSPECTED, ProbeCause.UNSETTLED, ProbeCause.NEWS, ProbeCause.CHANGING}
 )
-"""What comes first while more are due than may be asked."""
+"""Causes that come first while more probes are due than the rate allows."""
 
 
 class Probing:
-    """Ask each engine as often as its cause needs, and all together at a bounded rate."""
+    """Probe each engine at the interval of its cause, within a rate limit over all engines."""
 
     def __init__(self, state: CoordinatorState, is_answering: Callable[[GroupId], bool]) -> None:
-        """Start with the engines and groups; ``heard`` tells whether a group answers entries."""
+        """Start with the shared state; ``is_answering`` returns whether a group answers entries."""
         self._state = state
         self.is_answering = is_answering
         self._probe_intervals_s = _periods_s(state.tuning)
@@ -79,7 +79,7 @@
         self._budget_updated_s: float | None = None
 
     def due(self, now_s: float) -> list[Probe]:
-        """Return the engines to ask now, which are then taken to be asked."""
+        """Return the engines to probe now, and mark them as probed."""
         causes: dict[InstanceId, ProbeCause] = {}
         for group in self._state.groups.values():
             causes.update(self._member_causes(group, now_s))
@@ -97,7 +97,7 @@
         return chosen
 
     def _within_rate(self, due: list[Probe], now_s: float) -> list[Probe]:
-        """Return what may be asked now: the urgent first, then those not asked for longest."""
+        """Return the probes that the rate allows: urgent ones first, then the longest overdue."""
         rate = self._state.tuning.probes_per_s
         since_s = (
             now_s - self._budget_updated_s if self._budget_updated_s is not None else PROBE_BURST_S
@@ -111,7 +111,7 @@
         return due
 
     def _own_cause(self, record: EngineRecord, now_s: float) -> ProbeCause | None:
-        """Return why an engine is asked for its own sake, if it is."""
+        """Return the cause of a probe that does not depend on the engine's group, if any."""
         if record.dead:
             return ProbeCause.DRAINED if self._state.is_drained(record) else ProbeCause.DEAD
         if record.suspected:
@@ -128,7 +128,7 @@
 
     @property
     def _request_seen(self) -> bool:
-        """Tell whether any request has come; before, a loss harms nobody."""
+        """Return whether any request was seen; before the first one, a loss affects nobody."""
         return self._state.demand.measured_since_s is not None
 
     def _member_causes(self, group: GroupRecord, now_s: float) -> dict[InstanceId, ProbeCause]:
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/reservation.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/reservation.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which engines are kept for groups that lack only a few others."""
+"""Reservation of engines for groups that lack only a few others."""
 
 from collections import defaultdict
 from collections.abc import Mapping
@@ -12,7 +12,7 @@
 from ochreway_direct.ids import ModelName
 
 MAX_LACKING_SHARE = 0.5
-"""Up to which share of its engines a group may lack for the others to be held back for it."""
+"""Maximum share of its engines that a group may lack for the others to be reserved."""
 
 
 def reserved_engines(
@@ -23,20 +23,20 @@
     census: Census,
     downtime_share: float,
 ) -> dict[GroupSlot, set[InstanceId]]:
-    """Return the engines that new groups of each place must not use up.
+    """Return the engines that new groups of each group slot must not use.
 
-    A group that lacks a few engines is completed by as many loads. Were the others taken for a
-    group of another model that adds less, their weights would be lost and all be loaded again. On a
-    day of losses requests for the larger model earned 0.18 of their worth without it and 0.69 with
-    it and with orders believed before late reports.
+    A group that lacks a few engines is completed by as many loads. If its other engines joined a
+    group of another model that has less utility, their weights would be evicted and all have to be
+    loaded again. On a day with many losses, requests for the larger model reached 0.18 of their
+    value without reservation, and 0.69 with it and with accepted orders trusted over late reports.
 
     Args:
         spec: the models.
-        needs: the work offered for each model, in groups kept busy.
-        at_once: the groups that can be formed with the weights that engines have.
+        model_demand: the work offered for each model, in groups kept busy.
+        formable: the groups that can be formed with the weights that engines have.
         missing: the groups that lack weights, where they are to be completed.
-        census: the engines that are free.
-        down: the share of the time for which one engine's loss takes its group down.
+        census: the free engines.
+        downtime_share: the share of time for which the loss of one engine stops its group.
     """
     totals = groups_per_model(formable)
 
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/shares.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/shares.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What part of the work each model is taken to have until it was measured."""
+"""Assumed share of the work of each model until it was measured."""
 
 import math
 from collections.abc import Mapping
@@ -9,11 +9,11 @@
 
 
 def work_shares(spec: EngineSpec) -> Mapping[ModelName, float]:
-    """Return the part of the groups kept busy that are each model's; the parts add up to 1.
+    """Return each model's share of the groups kept busy; the shares add up to 1.
 
-    Configured shares count in proportion to each other. One that is missing, 0 or below, or no
-    number says that the model is rarely asked for; where all are, nothing is known of any model,
-    and each has an equal part.
+    Configured shares count in proportion to each other. A share that is missing, not positive or
+    not finite means that the model is rarely requested. If all are, nothing is known of any model,
+    and each has an equal share.
     """
     weights = {model.name: _weight(model) for model in spec.models}
     total = sum(weights.values())
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/spanning.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/spanning.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Groups whose members are in several fabric domains, as a stopgap."""
+"""Temporary groups whose members are in several fabric domains."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -15,10 +15,10 @@
 
 
 class SpanningFormation:
-    """Form groups across domains from engines that no domain has a use for.
+    """Form groups across domains from engines that no domain can use.
 
-    Such a group is slower by a factor that the configuration gives. It is given up as soon as
-    its engines complete a group inside a domain.
+    Such a group is slower by the configured ``far_factor``. It is closed as soon as its engines
+    complete a group inside a domain.
     """
 
     def __init__(self, state: CoordinatorState) -> None:
@@ -34,7 +34,7 @@
         spare: EnginesByDomain,
         now_s: float,
     ) -> None:
-        """Form groups of each model whose groups inside domains fall short of its work."""
+        """Form groups of each model whose groups inside domains do not carry its demand."""
         for model in sorted(spec.models, key=lambda each: -each.size):
             inside = sum(number for slot, number in wanted.items() if slot.model == model.name)
             across = census.current[GroupSlot(SPANNING, model.name)]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/staging.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/staging.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Loading weights where they let the most work be served."""
+"""Choice of the weights to load, so that the most work can be served."""
 
 from collections import Counter, defaultdict
 from collections.abc import Hashable, Iterable, Mapping
@@ -17,13 +17,13 @@
 from ochreway_direct.order import Stage
 
 MIN_LOAD_UTILITY = 0.02
-"""Below which worth, in groups kept busy times seconds, a load is not begun."""
+"""Minimum utility of a load, in groups kept busy times seconds."""
 HEDGE_UTILITY = 0.001
-"""What weights beside a group are worth while it is not known which model will be asked for."""
+"""Utility of weights staged on members of a group while no demand was measured."""
 
 
 class Staging:
-    """Begin the loads that are worth most, one after the other."""
+    """Begin the loads with the highest utility, one after the other."""
 
     def __init__(self, state: CoordinatorState) -> None:
         self._state = state
@@ -31,7 +31,7 @@
     def order_loads(
         self, service: ServiceName, spec: EngineSpec, outlook: Outlook, now_s: float
     ) -> None:
-        """Order as many loads as the bound on loads allows."""
+        """Order as many loads as the load limit allows."""
         allowed = self._state.loads_allowed(service, self._state.tuning.loading_share, now_s)
         if allowed <= 0:
             return
@@ -65,7 +65,7 @@
             return False
         return now_s - record.last_ordered_s >= self._state.tuning.order_retry_s
 
-    # What there is.
+    # Current state
 
     def _uses(self, service: ServiceName, outlook: Outlook) -> dict[InstanceId, Use]:
         use_by_instance: dict[InstanceId, Use] = {}
@@ -125,7 +125,7 @@
             return
         _count_engines(inventory, use, 1)
 
-    # What is loaded.
+    # Choice of loads
 
     def _best_load(
         self,
@@ -165,11 +165,12 @@
     def _may_load_beside(
         self, utility: LoadUtility, record: EngineRecord, model: ModelSpec
     ) -> bool:
-        """Tell whether weights may be loaded beside those of a group that is wanted.
+        """Return whether weights may be loaded on a member of a wanted group.
 
-        They push out the copy that an engine would start again with. While nothing was measured,
-        the smaller model's are loaded beside the larger one's: should the work turn out to be for
-        the smaller, each engine counts twice as much as it would the other way round.
+        They evict the copy from which the engine would start again. Before any demand was measured,
+        the smaller model's weights are loaded on members of the larger one's groups: if the work
+        turns out to be for the smaller model, each engine counts twice as much as the other way
+        round.
         """
         served = utility.spec.model(record.state.model) if record.state.model else None
         if served is None or not self._state.tuning.staging_beside:
@@ -179,7 +180,7 @@
         return utility.yields_to(served.name, model.name)
 
     def _account_for(self, utility: LoadUtility, load: Load) -> None:
-        """Take a load that was begun into account for the next one."""
+        """Update the inventories with a load that was begun."""
         domain = load.record.domain
         _count_engines(utility.inventory(GroupSlot(domain, load.model.name)), load.use, 1)
         if load.use is Use.HAS_STAGED:
@@ -196,7 +197,7 @@
 
 
 def _count_engines(inventory: Inventory, use: Use, number: int) -> None:
-    """Count engines by what they are doing."""
+    """Add engines to an inventory according to their use."""
     match use:
         case Use.SERVING:
             inventory.serving += number
@@ -207,7 +208,7 @@
 
 
 def _is_awaited(record: EngineRecord, outlook: Outlook) -> bool:
-    """Tell whether a group that comes next may need the engine with the weights it has."""
+    """Return whether an awaited group may need the engine with the weights that it has."""
     return record.membership is None and any(
         slot.domain == record.domain and slot.model in record.state.staged
         for slot in outlook.awaited
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/state.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/state.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What the parts of the coordinator share."""
+"""State that the parts of the coordinator share."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
@@ -17,17 +17,17 @@
 from ochreway_direct.order import Order
 
 MAX_REQUEST_NOTICE_DELAY_S = 0.5
-"""How late the first request of another entry may be known: a heartbeat and some delay."""
+"""Maximum delay until another entry's first request is known: a heartbeat and its transmission."""
 CURRENT_PHASES = frozenset({GroupPhase.FORMING, GroupPhase.SERVING})
 
 
 @dataclass(slots=True)
 class CoordinatorState:
-    """Hold engines, groups, the figures of services, and the orders of one step.
+    """Engines, groups, engine specifications, and the orders of one tick.
 
-    No load begins before the ones are ``loads_seen`` that a former holder began. Nothing is planned
-    or ordered in ``draining`` halls: their engines are no room, and their groups are kept as they
-    are without counting as standing.
+    No load begins before ``inherited_loads_seen``: the loads that the previous lease holder began
+    have been observed. Nothing is planned or ordered in ``drained_halls``: their engines are not
+    part of the capacity, and their groups are kept unchanged without counting as current.
     """
 
     tuning: CoordinatorTuning
@@ -44,19 +44,19 @@
 
     @property
     def downtime_share(self) -> float:
-        """Return the share of the time for which one engine's loss takes its group down."""
+        """Return the share of time for which the loss of one engine stops its group."""
         return self.loss_meter.losses_per_engine_s * self.tuning.repair_s
 
     @property
     def min_utility(self) -> float:
-        """Return what a further group has to add for each of its engines to be planned.
+        """Return the utility per engine that a further group needs to be planned.
 
-        Until requests were seen no engine stays idle while a group more may serve some.
+        Before the first request no engine stays idle that one more group could use.
         """
         return self.tuning.least_gain if self.demand.measured else 0.0
 
     def next_epoch(self) -> Epoch:
-        """Return an epoch above all that were given."""
+        """Return an epoch above all that were issued."""
         self.epoch = Epoch(self.epoch + 1)
         return self.epoch
 
@@ -69,7 +69,7 @@
         expected_s: float,
         now_s: float,
     ) -> None:
-        """Begin to form a group of engines, the first warm one of which is to lead."""
+        """Begin to form a group; the first member that is not cold becomes the leader."""
         chosen = sorted(chosen, key=lambda record: now_s < record.cold_until_s)
         epoch = self.next_epoch()
         group = GroupId(f"{model.name}-{epoch}")
@@ -82,9 +82,9 @@
         )
 
     def issue_order(self, record: EngineRecord, order: Order, now_s: float) -> bool:
-        """Give an order unless one is under way or the same was given just now.
+        """Issue an order unless one is in progress or the same was issued within the retry delay.
 
-        An engine of a hall that is drained gets none.
+        An engine of a drained hall gets no orders.
         """
         if self.is_drained(record):
             return False
@@ -98,25 +98,25 @@
         return True
 
     def _order_retry_delay_s(self, record: EngineRecord) -> float:
-        """Return how soon an engine's last order may be given again."""
+        """Return the delay after which an engine's last order may be repeated."""
         if not record.order_accepted:
             return self.tuning.order_retry_s
         unseen = record.observed_s <= record.last_ordered_s
         return self.tuning.order_unseen_retry_s if unseen else self.tuning.order_taken_retry_s
 
     def is_drained(self, record: EngineRecord) -> bool:
-        """Tell whether an engine is in a hall that is drained."""
+        """Return whether an engine is in a drained hall."""
         return record.listed.hall in self.drained_halls
 
     def touches_drained_hall(self, group: GroupRecord) -> bool:
-        """Tell whether any member of a group is in a hall that is drained."""
+        """Return whether any member of a group is in a drained hall."""
         if not self.drained_halls:
             return False
         records = (self.engines.get(instance) for instance in group.members)
         return any(record is not None and self.is_drained(record) for record in records)
 
     def unreleased_members(self) -> set[InstanceId]:
-        """Return the engines that some group has not released."""
+        """Return the engines that a group has not released."""
         return {
             instance
             for group in self.groups.values()
@@ -125,7 +125,7 @@
         }
 
     def groups_of(self, service: ServiceName) -> Iterable[GroupRecord]:
-        """Return the groups of a service that need no hall that is drained."""
+        """Return the groups of a service without members in drained halls."""
         return [
             group
             for group in self.groups.values()
@@ -133,7 +133,7 @@
         ]
 
     def has_closing_group(self, domain: DomainId) -> bool:
-        """Tell whether a group of a domain is being closed."""
+        """Return whether a group with members in a domain is closing."""
         return any(
             group.phase is GroupPhase.CLOSING and domain in self._group_domains(group)
             for group in self.groups.values()
@@ -143,7 +143,10 @@
         return {self.engines[each].domain for each in group.members if each in self.engines}
 
     def closing_time_s(self, group: GroupRecord, others_s: float) -> float:
-        """Return how long a group's requests have: less where others can go on with them."""
+        """Return how long a closing group's requests may take to end.
+
+        This is ``others_s`` if another group serves the model, as it can continue the requests.
+        """
         has_other = any(
             each.model == group.model and each.phase is GroupPhase.SERVING and each is not group
             for each in self.groups_of(group.service)
@@ -153,8 +156,8 @@
     def answer_time_s(self, group: GroupRecord) -> float:
         """Return how long a traded group may take to end the answers that it has begun.
 
-        That is some usual answers of its model with all slots in use. Nothing has failed, so its
-        callers are not cut off; the wanted group waits for them.
+        This is the time of ``trade_answers`` usual answers of its model with all slots in use.
+        Nothing has failed, so callers are not cut off; the wanted group waits for them.
         """
         spec = self.specs[group.service]
         model = spec.model(group.model)
@@ -164,10 +167,10 @@
         return max(self.tuning.trade_close_s, bound_s)
 
     def loads_allowed(self, service: ServiceName, share: float, now_s: float) -> int:
-        """Return how many more engines may get weights, within a share of the store's rate.
+        """Return how many more engines may load weights, within a share of the weight store's rate.
 
-        More at once would all end later. Before the first request loads are short, and what
-        counts is that the store is never idle.
+        More loads at once would all end later. Before the first request loads are short, and what
+        matters is that the weight store is never idle.
         """
         if not self.inherited_loads_seen:
             return 0
@@ -181,14 +184,14 @@
 
     @property
     def loads_unbounded(self) -> bool:
-        """Tell whether loads are quick and not bounded: the site starts, and nobody asks yet.
+        """Return whether loads are not bounded: at a site's first start, before the first request.
 
-        As others' requests are heard of late, what begins within that time stays bounded.
+        Requests to other entries are known with a delay, so loads within that delay remain bounded.
         """
         return self.tuning.first_start and self.demand.measured_since_s is None
 
     def begin_loads(self, service: ServiceName, loads: int, now_s: float) -> bool:
-        """Count loads that are to begin now, all or none; return whether they may."""
+        """Begin all of the loads or none; return whether the limit allows them."""
         limit = self.load_limits[service]
         if not self.loads_unbounded:
             return limit.try_begin(now_s, loads)
@@ -198,11 +201,11 @@
         return True
 
     def count_loading(self, service: ServiceName) -> int:
-        """Return how many engines of a service get weights, outside drained halls."""
+        """Return the number of a service's engines that load weights, outside drained halls."""
         return sum(not self.is_drained(record) for record in self._loading_engines(service))
 
     def count_loading_anywhere(self, service: ServiceName) -> int:
-        """Return how many engines of a service get weights, in any hall."""
+        """Return the number of a service's engines that load weights, in any hall."""
         return len(self._loading_engines(service))
 
     def _loading_engines(self, service: ServiceName) -> list[EngineRecord]:
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/summary.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/summary.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What the engines of a domain are doing, for the log."""
+"""Summary of the engines of a domain, for the log."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class DomainSummary:
-    """Count a domain's engines by what they do and by the weights they could join with."""
+    """Number of a domain's engines by state and by the models that free ones can join."""
 
     domain: DomainId
     members: int = 0
@@ -23,7 +23,7 @@
     joinable: Counter[ModelName] = field(default_factory=Counter)
 
     def add(self, record: EngineRecord, member: bool) -> None:
-        """Count one engine."""
+        """Add one engine."""
         self.members += member
         self.silent += record.dead
         self.leaving += record.leaving
@@ -39,7 +39,7 @@
 def summarize_domains(
     engines: Iterable[EngineRecord], members: frozenset[InstanceId]
 ) -> tuple[DomainSummary, ...]:
-    """Return a summary for each domain."""
+    """Return a summary of each domain."""
     by_domain: dict[DomainId, DomainSummary] = defaultdict(lambda: DomainSummary(DomainId("")))
     for record in engines:
         summary = by_domain[record.domain]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/swapping.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/swapping.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Giving up groups that a slow member holds back, where others can take its place."""
+"""Closing of groups that a slow member slows down, if substitutes are available."""
 
 from ochreway_direct.coordinator.census import Census
 from ochreway_direct.coordinator.enginerecord import EngineRecord
@@ -13,17 +13,17 @@
 
 
 class Swapping:
-    """Close groups that run at a slow member's pace, one a domain at a time.
+    """Close groups that run at a slow member's pace, one per domain at a time.
 
-    Its other members and free engines of the domain are then formed into a group anew, which
-    takes slow engines last.
+    A new group is then formed from the other members and free engines of the domain, with slow
+    engines as the last choice.
     """
 
     def __init__(self, state: CoordinatorState) -> None:
         self._state = state
 
     def close_slow_groups(self, census: Census, now_s: float) -> None:
-        """Close what a swap pays for."""
+        """Close each group whose slow members can be replaced."""
         for group in census.groups:
             if group.phase is not GroupPhase.SERVING or group.domain == SPANNING:
                 continue
@@ -41,7 +41,7 @@
         return [each for each in members if each.state.pace >= self._state.tuning.swap_pace]
 
     def _substitutes(self, group: GroupRecord, census: Census) -> int:
-        """Count the free engines that could join at once and are not slow themselves."""
+        """Return how many free engines could join at once and are not slow themselves."""
         fit_pace = self._state.tuning.fit_pace
         free = census.free[group.domain]
         return sum(each.can_join(group.model) and each.state.pace <= fit_pace for each in free)
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/trading.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/trading.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Giving up groups whose engines complete one that is wanted more."""
+"""Closing of groups whose engines complete a group of higher utility."""
 
 from collections import Counter
 
@@ -12,7 +12,7 @@
 
 
 class Trading:
-    """Close groups that the plan has no place for, where that lets a wanted one be formed."""
+    """Close groups that exceed the plan, if a wanted group can then be formed."""
 
     def __init__(self, state: CoordinatorState) -> None:
         self._state = state
@@ -29,12 +29,12 @@
         """Close as many groups as a wanted one needs engines from; none if that is not enough.
 
         Args:
-            service: the service that the groups belong to.
+            service: the service of the groups.
             model: the model of the wanted group.
-            slot: where it is wanted.
-            surplus: by how many groups each place has more than the plan.
+            slot: the group slot of the wanted group.
+            surplus: the number of groups of each group slot beyond the plan.
             census: the engines that are in no group, or about to be in none.
-            now_s: the time.
+            now_s: the current time.
         """
         if self._state.has_closing_group(slot.domain):
             return
@@ -67,10 +67,10 @@
         slot: GroupSlot,
         census: Census,
     ) -> list[GroupRecord]:
-        """Return a group of another model whose members a wanted one lacks, if it can replace them.
+        """Return a replaceable group of another model that has the members a wanted group lacks.
 
-        It is formed anew from the rest of its members and free engines within about two seconds;
-        to wait until a free engine has the weights that are lacking takes a load of 12 s or more.
+        It is formed again from its other members and free engines within about two seconds. Waiting
+        until a free engine has the lacking weights takes a load of 12 s or more.
         """
         free, survivors = census.free[slot.domain], census.survivors[slot.domain]
         lacking = model.size - sum(r.can_join(model.name) for r in (*free, *survivors))
@@ -87,14 +87,14 @@
         return []
 
     def _has_serving_peer(self, service: ServiceName, group: GroupRecord) -> bool:
-        """Tell whether another group of the same model serves meanwhile."""
+        """Return whether another group of the same model is serving."""
         return any(
             each is not group and each.model == group.model and each.phase is GroupPhase.SERVING
             for each in self._state.groups_of(service)
         )
 
     def _count_joinable(self, group: GroupRecord, model: ModelSpec, slot: GroupSlot) -> int:
-        """Count the members that could join a group of a model in a place's domain."""
+        """Return how many members could join a group of a model in the domain of a group slot."""
         members = [self._state.engines[each] for each in group.members]
         return sum(r.domain == slot.domain and r.can_join(model.name) for r in members)
 
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/tuning.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/tuning.py
@@ -1,35 +1,49 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The durations and weights that forming groups depends on."""
+"""Tuning of the coordinator."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class CoordinatorTuning:
-    """Hold every duration of the coordinator, and what an idle replica is worth.
+    """Durations, limits and weights of the coordinator.
 
-    ``swapping`` lets a group be formed anew without members that are ``swap_pace`` times slower
-    than usual, which slow all of it, where its domain has others of at most ``fit_pace``; a group
-    anew takes a second or two, and at that pace loses more than half of its answers' time.
-    ``staging_beside`` lets weights be loaded beside those of groups that are wanted, and
-    ``spanning`` lets groups be formed across domains, and ``trading`` lets some be given up for
-    others that are wanted more. A group that has lost a member is taken to be down for
-    ``repair_s``; one more that adds less than ``least_gain`` for each of its engines, in groups
-    kept busy, is not planned, and one that stands is preferred to a new one by ``keep_bonus``.
-    Members of a group whose answers entries hear are asked each ``probe_heard_s`` only, as silence
-    there is noticed at once; free engines each ``probe_free_s``, as their list tells of changes.
-    Engines of a hall that is drained are asked each ``probe_drained_s``, as nothing is done there.
-    All together at most ``probes_per_s`` are asked, at some 0.3 ms of processor each.
-    An order is repeated after ``order_retry_s``, and after ``order_taken_retry_s`` when the engine
-    has acknowledged it, as reports lag; while no report has come since, which happens where many
-    engines change at once, only after ``order_unseen_retry_s``. An engine joins the model that it
-    served last within ``rejoin_s``. A group that is closed has ``close_at_most_s`` to end its
-    requests. One that is traded while a further group of its model serves has failed in nothing: it
-    has ``trade_answers`` usual answers' time, or ``trade_close_s`` if that is more.
-    At the ``first_start`` of a whole site weights come quickly and their loads are not bounded
-    before the first request; they begin once the list has not grown for ``list_whole_s``, or after
-    ``list_whole_at_most_s``. A new holder of the lease keeps ``loads_unseen_share`` of the bound
-    on loads for those that it cannot see.
+    Times end in ``_s`` and are in seconds; utilities are in groups kept busy.
+
+    Attributes:
+        first_start: whether a whole site starts for the first time. Weights load quickly then, and
+            their loads are not bounded before the first request.
+        settle_s: the time after which a new lease holder plans although engines did not answer.
+        list_whole_s: at a start without weights, how long the list must not have grown before
+            loads begin.
+        list_whole_at_most_s: the time after which they begin in any case.
+        probes_per_s: the maximum rate of probes over all engines; each takes about 0.3 ms of
+            processor time.
+        probe_heard_s: the probe interval of members whose group answers entries, where silence is
+            noticed at once.
+        probe_free_s: the probe interval of free engines, whose changes the list shows.
+        probe_drained_s: the probe interval of engines in drained halls, which get no orders.
+        order_retry_s: the delay after which an order is repeated.
+        order_taken_retry_s: the same if the engine has acknowledged the order, as reports lag.
+        order_unseen_retry_s: the same if no report has arrived since, which happens where many
+            engines change at once.
+        rejoin_s: the time in which an engine joins the model that it served last.
+        close_at_most_s: the time in which a closing group has to end its requests.
+        swapping: whether a group is formed again without members that are at least ``swap_pace``
+            times slower than usual, if its domain has others of at most ``fit_pace``. A slow
+            member slows the whole group, which at that pace loses more than half of the time of
+            its answers; forming it again takes a second or two.
+        staging_beside: whether weights are loaded on members of groups that are wanted.
+        spanning: whether groups are formed across domains.
+        trading: whether groups are closed for others that are wanted more.
+        repair_s: the time for which a group that lost a member is assumed to be down.
+        least_gain: the utility per engine below which one more group is not planned.
+        keep_bonus: the factor by which a current group is preferred to a new one.
+        loads_unseen_share: the share of the load limit that a new lease holder reserves for loads
+            that it cannot see.
+        trade_answers: the time, in usual answers, that a traded group has to end its requests
+            while a further group of its model serves, as it has not failed.
+        trade_close_s: the minimum of that time.
     """
 
     first_start: bool = False
@@ -72,7 +86,7 @@
     trade_answers: float = 1.0
 
     def loads_at_most(self, per_s: float) -> int:
-        """Return how many loads may begin in one window."""
+        """Return the maximum number of loads in one window."""
         return int(per_s * self.loads_window_s * self.loads_excess) + self.loads_spare
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/worth.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/worth.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What one more group of a model is worth."""
+"""Marginal utility of one more group of a model."""
 
 import math
 from functools import lru_cache
@@ -10,29 +10,29 @@
 
 MAX_DOWNTIME_SHARE = 0.5
 MAX_EXACT_GROUPS = 60
-"""Up to how many groups a chance is computed exactly."""
+"""Maximum number of groups for which a probability is computed exactly."""
 
 
 def groups_needed(spec: EngineSpec, demand: float) -> float:
-    """Return how many groups carry so much work without requests having to wait."""
+    """Return how many groups carry the demand without requests having to wait."""
     return demand * TYPICAL_SEQUENCES / (CAPACITY_SHARE * spec.slots)
 
 
 def marginal_utility(
     spec: EngineSpec, model: ModelSpec, demand: float, groups: int, downtime_share: float
 ) -> float:
-    """Return what one more group adds to the work that is served, in groups kept busy.
+    """Return the work that one more group allows to be served, in groups kept busy.
 
-    Each group is down for a part of the time, as any of its engines may be lost, so what is
-    served is an expectation: the first groups of a model carry its work, a few more stand in for
-    those that are down, and any further one adds next to nothing.
+    Each group is down for a share of the time, as any of its engines may be lost, so the served
+    work is an expectation: the first groups of a model carry its demand, a few more substitute for
+    those that are down, and any further group adds next to nothing.
 
     Args:
-        spec: the figures of the engines.
+        spec: the engine specification.
         model: the model of the group.
-        need: the work that is offered for it, in groups kept busy.
-        groups: how many groups there are.
-        down: the share of the time for which one engine's loss takes its group down.
+        demand: the work offered for the model, in groups kept busy.
+        groups: the number of existing groups.
+        downtime_share: the share of time for which the loss of one engine stops its group.
     """
     up = 1.0 - min(MAX_DOWNTIME_SHARE, model.size * downtime_share)
     required = groups_needed(spec, demand)
@@ -48,7 +48,7 @@
 
 @lru_cache(maxsize=4096)
 def _chance_at_most(number: int, groups: int, up: float) -> float:
-    """Return the chance that at most a number of groups are up."""
+    """Return the probability that at most ``number`` groups are up."""
     if number < 0:
         return 0.0
     if number >= groups:
--- a/tests/direct/test_candidates.py
+++ b/tests/direct/test_candidates.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The pattern: 3,000 engines in a hundred domains want weights at once, at a first start."""
+"""Loads for 3,000 engines in a hundred domains that need weights at once, at a first start."""
 
 from collections.abc import Iterable
 
@@ -32,7 +32,7 @@
         self.begun_per_domain: dict[DomainId, int] = {}
 
     def best_load(self, records: Iterable[EngineRecord]) -> Load | None:
-        """Return a load that is worth less for each that its domain has had."""
+        """Return a load whose utility decreases with each load that its domain has had."""
         candidate_loads = []
         for record in records:
             self.evaluated += 1
--- a/tests/direct/test_coordination.py
+++ b/tests/direct/test_coordination.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Probes whose answers do not come, because of the engine or of this process."""
+"""Probes without an answer, because of the engine or because this process stalled."""
 
 import asyncio
 import time
@@ -30,7 +30,7 @@
 
 
 class SilentEngines(EngineControl):
-    """Never answer; block the whole process meanwhile if told to."""
+    """Never answer, and optionally block the whole process for a while."""
 
     def __init__(self, blocked_s: float) -> None:
         self._blocked_s = blocked_s
@@ -78,7 +78,7 @@
         return asyncio.run(work())
 
     def lost_after(self, cause: PhaseCause) -> tuple[GroupId, ...]:
-        """Return the groups whose calls are abandoned after one was dissolved for a cause."""
+        """Return the groups whose calls are abandoned after a group was dissolved for a cause."""
         log = EventLog("entry", "e", "error")
         timing = DirectTiming()
         coordination = Coordination(
--- a/tests/direct/test_coordinator.py
+++ b/tests/direct/test_coordinator.py
@@ -163,7 +163,7 @@
         self.assertEqual([], world.violations)
 
     def test_a_group_spans_domains_while_none_can_be_completed_inside_one(self) -> None:
-        # Without loads, or the engines that are left over would get the small model's weights.
+        # No loads, as spare engines would otherwise load the small model's weights.
         no_loads = CoordinatorTuning(loading_share=0.0)
         world = EngineWorld(domains=0, tuning=no_loads)
         near, far = DomainId("near"), DomainId("far")
@@ -193,8 +193,9 @@
         self.assertEqual(0, world.cut)
 
     def test_a_planned_trade_cuts_no_request_of_usual_length(self) -> None:
-        # Three small groups serve; large weights come in, and one wanted more is formed of two.
-        # An answer takes 0.9 s with all slots in use; nothing failed that would excuse a cut.
+        # Three small groups serve. Their engines get the large model's weights, and two of the
+        # groups are traded for a large one. An answer takes 0.9 s with all slots in use; no failure
+        # justifies a cut.
         world = EngineWorld(domains=0)
         near = DomainId("near")
         for staged in (LARGE,) * 3 + (SMALL,) * 6:
@@ -248,7 +249,7 @@
         self.assertEqual(before, set(world.coordinator.groups))
 
     def test_silence_that_no_other_engine_breaks_gives_up_no_group(self) -> None:
-        """Guards against groups given up as all engines, or this process, stood still a moment."""
+        """Guards against groups given up because all engines, or this process, stalled briefly."""
         world = settled()
         before = set(world.coordinator.groups)
         records = list(world.coordinator.engines.values())
--- a/tests/direct/test_drainplanning.py
+++ b/tests/direct/test_drainplanning.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Groups while a hall is drained: formed elsewhere, kept where they are, back when it is back."""
+"""Groups while a hall is drained: replaced elsewhere, kept unchanged, and used again afterwards."""
 
 from dataclasses import replace
 
@@ -19,11 +19,11 @@
 SETTLED_S = 60.0
 DRAINED, KEPT = HallId("d0"), HallId("d1")
 FORMED_S = 4.0
-"""Within what time engines with weights serve in new groups."""
+"""Maximum time until engines with weights serve in new groups."""
 
 
 class DrainWorld(EngineWorld):
-    """Note every order that an engine of a drained hall is given."""
+    """Record every order that is sent to an engine of a drained hall."""
 
     def __init__(self, domains: int = 3, tuning: CoordinatorTuning | None = None) -> None:
         self.drained: frozenset[HallId] = frozenset()
@@ -79,7 +79,7 @@
             for record in world.coordinator.engines.values()
             if record.listed.hall != DRAINED and record.membership is not None
         )
-        # Of the 16 engines left, all that whole groups can be made of serve.
+        # Of the 16 remaining engines, all that can form complete groups serve.
         self.assertGreaterEqual(engines, 12)
         self.assertEqual([], world.forbidden)
         self.assertEqual([], world.violations)
@@ -249,7 +249,7 @@
         self.assertEqual(loading + 3, state.count_loading(SERVICE))
         world.drain(DRAINED)
         self.assertEqual(loading, state.count_loading(SERVICE))
-        # What a new holder takes to have begun in the bounded window is all of them.
+        # A new holder assumes that all of them began within the window of the load limit.
         self.assertEqual(loading + 3, state.count_loading_anywhere(SERVICE))
 
     def test_a_group_being_formed_half_there_gives_its_engines_up(self) -> None:
--- a/tests/direct/test_firstplans.py
+++ b/tests/direct/test_firstplans.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Plans before any work was measured, over builds that Hypothesis draws.
+"""Plans before any work was measured, over builds drawn by Hypothesis.
 
-Callers of a model whose share of the engines is smaller than one of its groups found no group at
-all until its work was measured, as a cap on shares made such a group worth nothing.
+Guards against a model without any group until its work is measured. This happened when the model's
+share of the engines was smaller than one group, as a cap on shares made its group worthless.
 """
 
 from collections import Counter
@@ -27,14 +27,14 @@
 
 TUNING = CoordinatorTuning()
 DOWNTIME_SHARE = 0.02
-"""An engine lost each 250 s, and five seconds until its group serves again."""
+"""An engine is lost every 250 s, and its group serves again after five seconds."""
 BUILDS = settings(max_examples=200, deadline=None, derandomize=True, database=None)
 NAMES = tuple(ModelName(name) for name in ("a", "b", "c"))
 
 
 @dataclass(frozen=True, slots=True)
 class Build:
-    """Hold a site's models, the usable engines of its domains, and the groups that stand."""
+    """Models of a site, the usable engines of its domains, and the current groups."""
 
     models: tuple[ModelSpec, ...]
     capacities: Mapping[DomainId, Capacity]
@@ -99,7 +99,7 @@
 
 @st.composite
 def builds(draw: st.DrawFn, most: int = 3, with_current: bool = True) -> Build:
-    """Draw a site with room for a group of each model; engines may be able to join some only."""
+    """Draw a site with capacity for each model; some engines may join only one of the models."""
     models = draw(sizes_and_shares(most))
     names = frozenset(each.name for each in models)
     domains = draw(st.integers(2, 5))
@@ -120,7 +120,7 @@
 
 
 def fits_beside(build: Build, chosen: Mapping[GroupSlot, int], model: ModelSpec) -> bool:
-    """Tell whether one more group of a model finds room where the others are."""
+    """Return whether one more group of a model fits beside the chosen ones."""
     for domain, capacity in build.capacities.items():
         members = {m.name: m.size * chosen.get(GroupSlot(domain, m.name), 0) for m in build.models}
         members[model.name] += model.size
@@ -130,7 +130,7 @@
 
 
 def each_model_fits(build: Build) -> bool:
-    """Tell whether one group of each model find room together, trying all their places."""
+    """Return whether one group of each model fit together, by trying all domains."""
     for places in product(build.capacities, repeat=len(build.models)):
         members: dict[DomainId, Counter[ModelName]] = {each: Counter() for each in build.capacities}
         for domain, model in zip(places, build.models, strict=True):
@@ -149,7 +149,7 @@
 def can_be_within_half(
     build: Build, totals: Mapping[ModelName, int], within: Iterable[ModelName]
 ) -> bool:
-    """Tell whether as many groups can be placed with some models' spread, trying all places."""
+    """Return whether as many groups fit with some models spread, by trying all domains."""
     domains, models = sorted(build.capacities), build.models
     bounds = {name: (totals[name] + 1) // 2 for name in within}
 
--- a/tests/direct/test_layout.py
+++ b/tests/direct/test_layout.py
@@ -17,7 +17,7 @@
 D1, D2 = DomainId("d1"), DomainId("d2")
 TUNING = CoordinatorTuning()
 DOWNTIME_SHARE = 0.02
-"""An engine lost each 250 s, and five seconds until its group serves again."""
+"""An engine is lost every 250 s, and its group serves again after five seconds."""
 
 
 def capacities(engines: dict[DomainId, int]) -> dict[DomainId, Capacity]:
@@ -117,9 +117,9 @@
 class UnmeasuredTests(testtools.TestCase):
     """Plans before the first request.
 
-    The builds are those of customers whose configuration gives both models half of the work, where
+    The builds are those of sites whose configuration gives both models half of the work, where
     three to six of seven requests turned out to be for the small one; sizes and domains of a fourth
-    are drawn. A model's groups in one domain are bounded, as a domain may be lost at any time.
+    are made up. A model's groups in one domain are bounded, as a domain may be lost at any time.
     """
 
     def plan(self, large: int, small: int, domains: int, engines: int) -> Counter[GroupSlot]:
--- a/tests/direct/test_loadworth.py
+++ b/tests/direct/test_loadworth.py
@@ -14,7 +14,7 @@
 
 
 def utility_with(inventory: Inventory, *scenarios: dict[str, float]) -> LoadUtility:
-    """Return the worth of loads for a place with a stock."""
+    """Return the utility of loads for a place with an inventory."""
     return LoadUtility(
         SPEC,
         scenarios or (NEEDS,),  # type: ignore[arg-type]
--- a/tests/direct/test_lossmeter.py
+++ b/tests/direct/test_lossmeter.py
@@ -9,7 +9,7 @@
 
 
 def meter_after(engines: int, loss_interval_s: float, duration_s: float) -> LossMeter:
-    """Return a meter that saw an engine lost at equal intervals."""
+    """Return a meter that recorded losses at equal intervals."""
     meter = LossMeter()
     due_s = loss_interval_s
     for step in range(int(duration_s * 20)):
--- a/tests/direct/test_missing.py
+++ b/tests/direct/test_missing.py
@@ -31,7 +31,7 @@
 
 
 def census(*engine_lists: list[EngineRecord]) -> Census:
-    """Return what there is when all engines are free."""
+    """Return the census of engines that are all free."""
     free: EnginesByDomain = defaultdict(list)
     for records in engine_lists:
         for record in records:
--- a/tests/direct/test_planlog.py
+++ b/tests/direct/test_planlog.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The line that tells what the holder of the lease plans."""
+"""Log event with the plan of the lease holder."""
 
 import testtools
 
@@ -16,19 +16,19 @@
 
 
 class RecordingLog(EventLog):
-    """Keep the fields of each line."""
+    """Record the fields of each event."""
 
     def __init__(self) -> None:
         super().__init__("entry", "e", "error")
         self.events: list[dict[str, object]] = []
 
     def event(self, name: str, **fields: object) -> None:
-        """Keep a line."""
+        """Record an event."""
         self.events.append({"name": name, **fields})
 
 
 def plan(large: float, small: float, standing: dict[GroupSlot, int] | None = None) -> PlanSummary:
-    """Return a plan for so much work."""
+    """Return a plan for the given demand."""
     return PlanSummary(True, {LARGE: large, SMALL: small}, WANTED, standing or {})
 
 
--- a/tests/direct/test_probing.py
+++ b/tests/direct/test_probing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How often engines are asked, by what is heard of them otherwise."""
+"""Intervals of engine probes, depending on other information about the engines."""
 
 from dataclasses import replace
 
@@ -21,7 +21,7 @@
 
 
 def probes_made(world: EngineWorld, seconds: float) -> int:
-    """Return how many probes a world's coordinator makes in a while."""
+    """Return how many probes a world's coordinator sends within some seconds."""
     probe_count = 0
     due_probes = world.coordinator.due_probes
 
--- a/tests/direct/test_shares.py
+++ b/tests/direct/test_shares.py
@@ -28,7 +28,7 @@
         self.assertEqual((0.5, 0.5), self.shares(0.0, 0.0))
 
     def test_initial_demand_follows_the_same_shares(self) -> None:
-        """Guards against needs and bounds on engines that read a share in two ways."""
+        """Guards against different readings of a share in demands and in limits on engines."""
         model_demand = [
             Demand().by_model(
                 replace(SPEC, models=(replace(LARGE, share=a), replace(SMALL, share=b))), 24
--- a/tests/direct/test_staging.py
+++ b/tests/direct/test_staging.py
@@ -9,10 +9,10 @@
 
 
 class EarlyLoadTests(testtools.TestCase):
-    """What is loaded before anybody asks, at the first start of a site and at a later one."""
+    """Loads before the first request, at the first start of a site and at a later one."""
 
     def loads_begun(self, first_start: bool) -> int:
-        """Return how many engines got weights within the window of the bound."""
+        """Return how many engines got weights within the window of the load limit."""
         tuning = CoordinatorTuning(first_start=first_start, loads_window_s=30.0, loads_excess=0.1)
         world = EngineWorld(domains=3, engines=8, lag_s=0.1, tuning=tuning)
         world.load_speed = 10.0
@@ -23,7 +23,7 @@
         self.assertEqual(24, self.loads_begun(first_start=True))
 
     def test_loads_are_bounded_at_a_start_that_is_not_the_first(self) -> None:
-        # Groups join by loading, all members or none, so the bound is not always used up.
+        # Members of a group load together or not at all, so the limit is not always used up.
         at_most = CoordinatorTuning(loads_window_s=30.0, loads_excess=0.1).loads_at_most(
             SPEC.loads_per_s
         )
@@ -52,7 +52,7 @@
 
 class StagingTests(testtools.TestCase):
     def test_a_loading_engine_is_not_asked_to_join(self) -> None:
-        """Joining waits for the load, which may push out what it needs: six seconds lost."""
+        """Guards against a join that waits six seconds for a load that evicts the weights."""
         world = EngineWorld(domains=0)
         for _ in range(LARGE.size):
             world.add(NEAR, LARGE.name)
--- a/tests/direct/test_swapping.py
+++ b/tests/direct/test_swapping.py
@@ -17,7 +17,7 @@
         world.run_until(lambda: world.serving(SMALL) == 1, 10.0)
         world.run(3.0)
         for record in world.coordinator.engines.values():
-            record.last_model = SMALL.name  # Each has served it before, and joins at once.
+            record.last_model = SMALL.name  # Each has served the model before and joins at once.
         return world
 
     def slow_down(self, world: EngineWorld) -> InstanceId:
