--- a/packages/ochreway-daemon/src/ochreway_daemon/api/status.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/api/status.py
@@ -99,7 +99,7 @@
         return "not heard of yet"
     report = health.report
     checks = (
-        (health.lost_for_s(now_s) > 3.0, f"silent for {health.lost_for_s(now_s):.0f} s"),
+        (health.silent_for_s(now_s) > 3.0, f"silent for {health.silent_for_s(now_s):.0f} s"),
         (health.leaving or report.leaving, "leaving"),
         (report.epoch != row.epoch, f"at epoch {report.epoch}"),
         (not report.ready, "loading"),
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/controller.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/controller.py
@@ -20,19 +20,19 @@
 from ochreway_nodes.controller.groupchange import GroupChange
 from ochreway_nodes.controller.halldrainplan import replacements_to_warm
 from ochreway_nodes.controller.health import Health
-from ochreway_nodes.controller.planner import LOADS_AT_ONCE, plan
+from ochreway_nodes.controller.planner import MAX_CONCURRENT_LOADS, next_change
 from ochreway_nodes.controller.repair import RepairPolicy
 from ochreway_nodes.controller.rowwrites import RowWrites, SpecSource, writes_for
 from ochreway_nodes.controller.situation import Situation
 from ochreway_nodes.controller.tally import Tally
 from ochreway_nodes.outbox import Outbox
 
-CANDIDATES = 3
+LEASE_CANDIDATES = 3
 """How many entries watch a domain's lease, by rendezvous."""
-TAKE_OVER_STAGGER = 0.5
+TAKEOVER_STAGGER_FRACTION = 0.5
 BACKOFF_BASE_S = 0.5
-WARM_EVERY_S = 1.0
-WARM_AT_ONCE = 1
+WARM_INTERVAL_S = 1.0
+MAX_SPARE_LOADS = 1
 
 
 class Phase(Enum):
@@ -44,15 +44,15 @@
 
 
 @dataclass(slots=True)
-class _Observed:
+class _ObservedLease:
     """Hold another holder's lease and since when it has not moved."""
 
     lease: LeaseRow | None
-    since_s: float
+    unchanged_since_s: float
 
 
 @dataclass(slots=True)
-class _Pending:
+class _PendingCall:
     call: int
     sent_s: float
     writes: RowWrites | None = None
@@ -90,13 +90,13 @@
         self._next_call = next_call
         self._backoff = Backoff(BACKOFF_BASE_S, timing.backoff_max_s, rng)
         self._phase = Phase.IDLE
-        self._pending: _Pending | None = None
+        self._pending: _PendingCall | None = None
         self._not_before_s = now_s
-        self._renewed_s = -1.0e9
-        self._probed_s = -1.0e9
-        self._warmed_s = -1.0e9
-        self._fresh = False
-        self._observed = _Observed(None, now_s)
+        self._lease_renewed_s = -1.0e9
+        self._last_probe_s = -1.0e9
+        self._last_warm_s = -1.0e9
+        self._rows_fresh = False
+        self._observed = _ObservedLease(None, now_s)
         self._draining_since_s: dict[GroupId, float] = {}
         self._drained_halls: frozenset[HallId] = frozenset()
         self._closed_halls: frozenset[HallId] = frozenset()
@@ -107,13 +107,13 @@
 
     def configure(self, bundle: Bundle, version: Version) -> None:
         """Take the bundle in force, and let the domain's agents hear of it at once."""
-        self._probed_s = -1.0e9
+        self._last_probe_s = -1.0e9
         self._bundle = bundle
         self._version = version
 
     def on_listing(self, instances: Mapping[NodeId, ListedInstance]) -> None:
         """Take in the platform's list."""
-        for node in sorted(self._named() | self.health.keys()):
+        for node in sorted(self._section_nodes() | self.health.keys()):
             health = self.health.setdefault(node, Health())
             listed = instances.get(node)
             health.listed = listed is not None
@@ -122,12 +122,12 @@
                 health.peer = Peer(node, listed.address)
                 health.hall = listed.hall
 
-    def drain_halls(self, drained: frozenset[HallId], closed: frozenset[HallId]) -> None:
+    def set_drained_halls(self, drained: frozenset[HallId], closed: frozenset[HallId]) -> None:
         """Use no instance in drained halls any more; in closed ones no group serves on."""
         self._drained_halls = drained
         self._closed_halls = closed
 
-    def _named(self) -> set[NodeId]:
+    def _section_nodes(self) -> set[NodeId]:
         if self._bundle is None:
             return set()
         groups = [group for group in self._bundle.group if group.domain == self.domain]
@@ -138,13 +138,13 @@
         health = self.health.get(report.node)
         if health is None:
             return
-        health.heard_s = now_s
+        health.last_seen_s = now_s
         health.report = report
         if self.rows is not None and self.rows.lease is not None:
-            self._bring_up_to_date(health, report, self.rows)
-            self._hear_members(report, self.rows, now_s)
+            self._reconcile_agent(health, report, self.rows)
+            self._mark_members_seen(report, self.rows, now_s)
 
-    def _hear_members(self, report: Report, rows: DomainRows, now_s: float) -> None:
+    def _mark_members_seen(self, report: Report, rows: DomainRows, now_s: float) -> None:
         """Take a leader's word for the members whose grants it has."""
         row = rows.groups.get(report.group)
         if row is None or row.leader.node != report.node or row.epoch != report.epoch:
@@ -152,9 +152,9 @@
         for peer in row.members:
             health = self.health.get(peer.node)
             if health is not None and peer.node not in report.missing:
-                health.heard_s = now_s
+                health.last_seen_s = now_s
 
-    def _bring_up_to_date(self, health: Health, report: Report, rows: DomainRows) -> None:
+    def _reconcile_agent(self, health: Health, report: Report, rows: DomainRows) -> None:
         group = rows.group_of(report.node)
         if health.peer is None or rows.lease is None:
             return
@@ -165,12 +165,12 @@
         elif report.group:
             self._outbox.send(health.peer, Dismiss(self.domain, rows.lease.counter))
 
-    def observe(self, lease: LeaseRow | None, now_s: float) -> None:
+    def observe_lease(self, lease: LeaseRow | None, now_s: float) -> None:
         """Take in the lease row as a read showed it; an older one came late."""
         known = self._observed.lease
-        if lease is None or _age(lease) <= _age(known):
+        if lease is None or _lease_order(lease) <= _lease_order(known):
             return
-        self._observed = _Observed(lease, now_s)
+        self._observed = _ObservedLease(lease, now_s)
         if not self.holding and lease.holder != self._me:
             # Another holds the lease: what was read before is no basis for orders any more.
             self.rows = None
@@ -187,31 +187,31 @@
         if self._phase is not Phase.IDLE or now_s < self._not_before_s:
             return
         if not self.holding:
-            if self.rank < CANDIDATES:
-                self._consider_taking(now_s)
-        elif not self._fresh:
+            if self.rank < LEASE_CANDIDATES:
+                self._consider_acquiring(now_s)
+        elif not self._rows_fresh:
             self._read(now_s)
         else:
-            self._act(now_s)
+            self._act_as_holder(now_s)
 
     def _call_failed(self, now_s: float) -> None:
         self._outbox.count("controller.table_failed")
         # A commit may have landed or may land yet; only a fresh read can tell.
-        self._fresh = False
+        self._rows_fresh = False
         self._phase = Phase.IDLE
         self._pending = None
         self._not_before_s = now_s + self._backoff.failed()
 
-    def _consider_taking(self, now_s: float) -> None:
-        if self._may_take(now_s):
+    def _consider_acquiring(self, now_s: float) -> None:
+        if self._may_acquire_lease(now_s):
             self._read(now_s)
 
-    def _may_take(self, now_s: float) -> bool:
+    def _may_acquire_lease(self, now_s: float) -> bool:
         observed = self._observed
         unheld = observed.lease is None or not observed.lease.holder
-        patience_s = 0.0 if unheld else self._timing.lease_s
-        patience_s += self.rank * TAKE_OVER_STAGGER * self._timing.lease_renew_s
-        return now_s - observed.since_s >= patience_s
+        wait_s = 0.0 if unheld else self._timing.lease_s
+        wait_s += self.rank * TAKEOVER_STAGGER_FRACTION * self._timing.lease_renew_s
+        return now_s - observed.unchanged_since_s >= wait_s
 
     def _read(self, now_s: float) -> None:
         call = self._next_call()
@@ -221,7 +221,7 @@
             instance_key(self.domain, ""),
         )
         self._phase = Phase.READING
-        self._pending = _Pending(call, now_s)
+        self._pending = _PendingCall(call, now_s)
         self._outbox.add(TableRead(TableUse.CONTROLLER, call, prefixes))
 
     # Answers of the table
@@ -236,24 +236,24 @@
         self._pending = None
         self._phase = Phase.IDLE
         self._backoff.succeeded()
-        rows = DomainRows.read(self.domain, reply.rows)
-        self.observe(rows.lease, now_s)
+        rows = DomainRows.from_rows(self.domain, reply.rows)
+        self.observe_lease(rows.lease, now_s)
         if rows.lease is not None and rows.lease.holder == self._me:
-            self._take_rows(rows)
-            self._fresh = True
-            self._now_holding(now_s)
+            self._apply_rows(rows)
+            self._rows_fresh = True
+            self._on_lease_held(now_s)
             return
-        self._lost_lease()
-        if self._may_take(now_s):
-            self._take_lease(rows, now_s)
+        self._on_lease_lost()
+        if self._may_acquire_lease(now_s):
+            self._acquire_lease(rows, now_s)
 
-    def _take_rows(self, rows: DomainRows) -> None:
+    def _apply_rows(self, rows: DomainRows) -> None:
         self.rows = rows
         draining = {group for group, row in rows.groups.items() if row.draining}
         for group in self._draining_since_s.keys() - draining:
             del self._draining_since_s[group]
 
-    def _take_lease(self, rows: DomainRows, now_s: float) -> None:
+    def _acquire_lease(self, rows: DomainRows, now_s: float) -> None:
         former = rows.lease
         term = Term(former.term + 1 if former else 1)
         counter = former.counter if former else Epoch(0)
@@ -263,7 +263,7 @@
         call = self._next_call()
         change = ChangeId(f"{self._me}.{self._random.getrandbits(64):016x}")
         self._phase = Phase.COMMITTING
-        self._pending = _Pending(call, now_s, writes)
+        self._pending = _PendingCall(call, now_s, writes)
         self._outbox.add(TableCommit(TableUse.CONTROLLER, call, writes.transaction(change)))
 
     def on_commit(self, call: int, reply: CommitReply, now_s: float) -> None:
@@ -279,16 +279,16 @@
         self._backoff.succeeded()
         if reply.status is CommitStatus.CONFLICT:
             self._outbox.count("controller.conflict")
-            self._fresh = False
+            self._rows_fresh = False
             return
-        self._take_rows(pending.writes.committed(reply.revision))
-        self._fresh = True
-        self._now_holding(now_s)
-        for group in pending.writes.changed:
-            self._push(group)
-
-    def _now_holding(self, now_s: float) -> None:
-        self._renewed_s = now_s
+        self._apply_rows(pending.writes.committed(reply.revision))
+        self._rows_fresh = True
+        self._on_lease_held(now_s)
+        for group in pending.writes.changed_groups:
+            self._send_orders(group)
+
+    def _on_lease_held(self, now_s: float) -> None:
+        self._lease_renewed_s = now_s
         if self.holding:
             return
         self.holding = True
@@ -297,17 +297,17 @@
         self._outbox.count("controller.lease_taken")
         self._outbox.log("lease_taken", domain=self.domain, term=self.rows.lease.term)
         for health in self.health.values():
-            health.heard_s = max(health.heard_s, now_s)
+            health.last_seen_s = max(health.last_seen_s, now_s)
 
-    def _lost_lease(self) -> None:
+    def _on_lease_lost(self) -> None:
         if self.holding:
             self._outbox.count("controller.lease_lost")
             self._outbox.log("lease_lost", domain=self.domain)
         self.holding = False
-        self._fresh = False
+        self._rows_fresh = False
         self.rows = None
 
-    def _push(self, group: GroupId) -> None:
+    def _send_orders(self, group: GroupId) -> None:
         assert self.rows is not None
         assert self.rows.lease is not None
         row = self.rows.groups.get(group)
@@ -317,11 +317,11 @@
             self._outbox.send(peer, Order(self.domain, self.rows.lease.term, row))
 
     @property
-    def at_rest(self) -> bool:
+    def can_commit(self) -> bool:
         """Tell whether the holder may commit now."""
-        return self.holding and self._fresh and self._phase is Phase.IDLE
+        return self.holding and self._rows_fresh and self._phase is Phase.IDLE
 
-    def change(self, change: GroupChange, now_s: float) -> None:
+    def commit_change(self, change: GroupChange, now_s: float) -> None:
         """Commit a change to the groups."""
         assert self.rows is not None
         self._outbox.count("controller.change")
@@ -330,16 +330,16 @@
 
     # The holder's work
 
-    def _act(self, now_s: float) -> None:
+    def _act_as_holder(self, now_s: float) -> None:
         rows = self.rows
         assert rows is not None
         assert rows.lease is not None
-        change = self._plan(rows, now_s)
+        change = self._plan_change(rows, now_s)
         if change is not None:
-            self.change(change, now_s)
+            self.commit_change(change, now_s)
             return
         self._warm_spares(rows, now_s)
-        if now_s - self._renewed_s >= self._timing.lease_renew_s:
+        if now_s - self._lease_renewed_s >= self._timing.lease_renew_s:
             lease = replace(rows.lease, beat=rows.lease.beat + 1)
             self._commit(RowWrites(rows, lease), now_s)
 
@@ -348,32 +348,36 @@
 
         A replacement that is still cold is told again; it keeps its place until it is warm.
         """
-        if self._bundle is None or rows.lease is None or now_s - self._warmed_s < WARM_EVERY_S:
+        if (
+            self._bundle is None
+            or rows.lease is None
+            or now_s - self._last_warm_s < WARM_INTERVAL_S
+        ):
             return
-        self._warmed_s = now_s
+        self._last_warm_s = now_s
         situation = self._situation(self._bundle, rows, now_s)
-        room = max(0, LOADS_AT_ONCE - situation.loading())
+        free_loads = max(0, MAX_CONCURRENT_LOADS - situation.loading_count())
         replacements = replacements_to_warm(situation)
-        for peer, artifact in replacements[:room]:
+        for peer, artifact in replacements[:free_loads]:
             self._outbox.send(peer, Warm(self.domain, rows.lease.counter, artifact))
-        if situation.loading() or replacements:
+        if situation.loading_count() or replacements:
             return
-        for peer, artifact in situation.to_warm()[:WARM_AT_ONCE]:
+        for peer, artifact in situation.spares_to_warm()[:MAX_SPARE_LOADS]:
             self._outbox.send(peer, Warm(self.domain, rows.lease.counter, artifact))
 
     def _spec_source(self) -> SpecSource:
         assert self._bundle is not None
         return SpecSource(self._bundle, self._version)
 
-    def _plan(self, rows: DomainRows, now_s: float) -> GroupChange | None:
+    def _plan_change(self, rows: DomainRows, now_s: float) -> GroupChange | None:
         if self._bundle is None:
             return None
         for group, row in rows.groups.items():
             if row.draining:
                 self._draining_since_s.setdefault(group, now_s)
         situation = self._situation(self._bundle, rows, now_s)
-        self.tally.count(situation)
-        return plan(situation, self._policy)
+        self.tally.accumulate(situation)
+        return next_change(situation, self._policy)
 
     def _situation(self, bundle: Bundle, rows: DomainRows, now_s: float) -> Situation:
         return Situation(
@@ -394,9 +398,9 @@
 
     def _probe(self, now_s: float) -> None:
         rows = self.rows
-        if rows is None or rows.lease is None or now_s - self._probed_s < self._timing.probe_s:
+        if rows is None or rows.lease is None or now_s - self._last_probe_s < self._timing.probe_s:
             return
-        self._probed_s = now_s
+        self._last_probe_s = now_s
         for node, health in self.health.items():
             if health.peer is None:
                 continue
@@ -413,12 +417,17 @@
         if row is None or report is None or row.leader.node == node or health.leaving:
             return True
         behind = _is_behind(report, row)
-        unheard = health.lost_for_s(now_s) > 2 * self._timing.probe_s
-        return behind or unheard or report.leaving or not report.ready
+        silent = health.silent_for_s(now_s) > 2 * self._timing.probe_s
+        return behind or silent or report.leaving or not report.ready
 
-    def release(self, now_s: float) -> None:
+    def release_lease(self, now_s: float) -> None:
         """Give the lease up, as at a planned stop."""
-        if self.holding and self._fresh and self.rows is not None and self.rows.lease is not None:
+        if (
+            self.holding
+            and self._rows_fresh
+            and self.rows is not None
+            and self.rows.lease is not None
+        ):
             self._commit(RowWrites(self.rows, replace(self.rows.lease, holder=NodeId(""))), now_s)
         self.holding = False
         self._not_before_s = float("inf")
@@ -432,7 +441,7 @@
     return (report.epoch, formation, report.step) < row.age
 
 
-def _age(lease: LeaseRow | None) -> tuple[int, int]:
+def _lease_order(lease: LeaseRow | None) -> tuple[int, int]:
     return (lease.term, lease.beat) if lease else (0, -1)
 
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/domainrows.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/domainrows.py
@@ -21,20 +21,20 @@
     revisions: dict[str, int] = field(default_factory=dict)
 
     @classmethod
-    def read(cls, domain: DomainId, rows: Mapping[str, Row]) -> "DomainRows":
+    def from_rows(cls, domain: DomainId, rows: Mapping[str, Row]) -> "DomainRows":
         """Decode what a read of the domain's prefixes gave."""
-        built = cls(domain)
+        result = cls(domain)
         lease = rows.get(lease_key(domain))
-        built.lease = decode(LeaseRow, lease.content) if lease else None
+        result.lease = decode(LeaseRow, lease.content) if lease else None
         for key, row in rows.items():
-            built.revisions[key] = row.revision
+            result.revisions[key] = row.revision
             if key.startswith(group_key(domain, "")):
                 group = decode(GroupRow, row.content)
-                built.groups[group.group] = group
+                result.groups[group.group] = group
             elif key.startswith(instance_key(domain, "")):
                 instance = decode(InstanceRow, row.content)
-                built.instances[instance.node] = instance
-        return built
+                result.instances[instance.node] = instance
+        return result
 
     def condition(self, key: str) -> Condition:
         """Return the condition that a row has not changed since it was read."""
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/halldrainplan.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/halldrainplan.py
@@ -14,13 +14,17 @@
 from ochreway_nodes.controller.repair import RepairPolicy
 from ochreway_nodes.controller.situation import Situation
 
-WHY = "its hall is drained"
+HALL_DRAIN_REASON = "its hall is drained"
 
 
-def hall_drained(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
+def next_hall_drain_change(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
     """Return the next change that takes a group out of a drained hall."""
-    for row, spec in _concerned(situation):
-        change = _replaced(situation, row, spec) if row.draining else _drained(situation, row, spec)
+    for row, spec in _affected_groups(situation):
+        change = (
+            _reform_elsewhere(situation, row, spec)
+            if row.draining
+            else _drain_when_ready(situation, row, spec)
+        )
         if change is not None:
             return change
     return None
@@ -28,18 +32,18 @@
 
 def replacements_to_warm(situation: Situation) -> list[tuple[Peer, str]]:
     """Return instances elsewhere that are to load weights before a group there is drained."""
-    taken: set[Peer] = set()
-    found = []
-    for row, spec in _concerned(situation):
-        chosen = [peer for peer in _spares(situation, row, spec) if peer not in taken]
-        chosen = chosen[: len(row.members) - len(_staying(situation, row))]
-        taken |= set(chosen)
-        cold = [peer for peer in chosen if not _ready(situation, peer, spec)]
-        found += [(peer, situation.bundle.artifact(spec)) for peer in cold]
-    return found
-
-
-def _concerned(situation: Situation) -> list[tuple[GroupRow, Group]]:
+    chosen_before: set[Peer] = set()
+    to_warm = []
+    for row, spec in _affected_groups(situation):
+        chosen = [peer for peer in _spares(situation, row, spec) if peer not in chosen_before]
+        chosen = chosen[: len(row.members) - len(_remaining_members(situation, row))]
+        chosen_before |= set(chosen)
+        cold = [peer for peer in chosen if not _can_serve_at_once(situation, peer, spec)]
+        to_warm += [(peer, situation.bundle.artifact(spec)) for peer in cold]
+    return to_warm
+
+
+def _affected_groups(situation: Situation) -> list[tuple[GroupRow, Group]]:
     """Return the wanted, unbroken groups with a member in a drained hall."""
     if not situation.drained_halls:
         return []
@@ -48,68 +52,68 @@
         (row, specs[row.group])
         for row in situation.rows.groups.values()
         if row.group in specs
-        and any(situation.is_drained(peer.node) for peer in row.members)
+        and any(situation.in_drained_hall(peer.node) for peer in row.members)
         and not situation.lost_members(row)
     ]
 
 
-def _staying(situation: Situation, row: GroupRow) -> list[Peer]:
-    return [peer for peer in row.members if situation.usable(peer.node)]
+def _remaining_members(situation: Situation, row: GroupRow) -> list[Peer]:
+    return [peer for peer in row.members if situation.is_usable(peer.node)]
 
 
 def _spares(situation: Situation, row: GroupRow, spec: Group) -> list[Peer]:
-    standbys = [peer for peer in row.standbys if situation.usable(peer.node)]
-    return situation.free(spec) + standbys
+    standbys = [peer for peer in row.standbys if situation.is_usable(peer.node)]
+    return situation.free_instances(spec) + standbys
 
 
-def _ready(situation: Situation, peer: Peer, spec: Group) -> bool:
+def _can_serve_at_once(situation: Situation, peer: Peer, spec: Group) -> bool:
     """Tell whether an instance could serve without loading weights."""
     return not spec.model or situation.is_warm(peer.node, spec)
 
 
-def _promised(situation: Situation) -> set[Peer]:
+def _reserved_spares(situation: Situation) -> set[Peer]:
     """Return the spares that groups which are being drained are to be formed with."""
-    taken: set[Peer] = set()
-    for row, spec in _concerned(situation):
+    reserved: set[Peer] = set()
+    for row, spec in _affected_groups(situation):
         if row.draining:
-            free = [peer for peer in _spares(situation, row, spec) if peer not in taken]
-            taken |= set(free[: len(row.members) - len(_staying(situation, row))])
-    return taken
+            free = [peer for peer in _spares(situation, row, spec) if peer not in reserved]
+            reserved |= set(free[: len(row.members) - len(_remaining_members(situation, row))])
+    return reserved
 
 
-def _drained(situation: Situation, row: GroupRow, spec: Group) -> GroupChange | None:
+def _drain_when_ready(situation: Situation, row: GroupRow, spec: Group) -> GroupChange | None:
     """Drain a group once its replacements are ready, or when its time is over."""
-    if any(situation.is_closed(peer.node) for peer in row.members):
-        return DrainGroup(row.group, WHY)
-    missing = len(row.members) - len(_staying(situation, row))
-    promised = _promised(situation)
-    spares = [peer for peer in _spares(situation, row, spec) if peer not in promised]
-    ready = sum(_ready(situation, peer, spec) for peer in spares)
-    if ready >= missing and _down(situation) < situation.bundle.roll.max_groups_down:
-        return DrainGroup(row.group, WHY)
+    if any(situation.in_closed_hall(peer.node) for peer in row.members):
+        return DrainGroup(row.group, HALL_DRAIN_REASON)
+    missing = len(row.members) - len(_remaining_members(situation, row))
+    others_spares = _reserved_spares(situation)
+    spares = [peer for peer in _spares(situation, row, spec) if peer not in others_spares]
+    ready = sum(_can_serve_at_once(situation, peer, spec) for peer in spares)
+    if ready >= missing and _down_count(situation) < situation.bundle.roll.max_groups_down:
+        return DrainGroup(row.group, HALL_DRAIN_REASON)
     return None
 
 
-def _down(situation: Situation) -> int:
+def _down_count(situation: Situation) -> int:
     rows = situation.rows.groups.values()
-    return sum(row.draining or not situation.serves(row) for row in rows)
+    return sum(row.draining or not situation.is_serving(row) for row in rows)
 
 
-def _replaced(situation: Situation, row: GroupRow, spec: Group) -> GroupChange | None:
+def _reform_elsewhere(situation: Situation, row: GroupRow, spec: Group) -> GroupChange | None:
     """Form a drained group with instances elsewhere, or give it up for want of them.
 
     While it may serve on, one whose replacements are gone again is opened instead.
     """
-    if not situation.drained(row):
+    if not situation.has_drained(row):
         return None
-    able = _staying(situation, row) + _spares(situation, row, spec)
+    candidates = _remaining_members(situation, row) + _spares(situation, row, spec)
     size = spec.instances_per_replica
-    if len(able) < size:
-        if not any(situation.is_closed(peer.node) for peer in row.members):
+    if len(candidates) < size:
+        if not any(situation.in_closed_hall(peer.node) for peer in row.members):
             return RefreshGroup(row.group, "its replacements are gone")
-        return DissolveGroup(row.group, WHY + " and there is no spare")
-    standbys = tuple(able[size : size + spec.standbys])
-    return FormGroup(row.group, tuple(able[:size]), WHY, (), standbys)
+        return DissolveGroup(row.group, HALL_DRAIN_REASON + " and there is no spare")
+    standbys = tuple(candidates[size : size + spec.standbys])
+    return FormGroup(row.group, tuple(candidates[:size]), HALL_DRAIN_REASON, (), standbys)
 
 
-__all__ = ["hall_drained", "replacements_to_warm"]
+__all__ = ["next_hall_drain_change", "replacements_to_warm"]
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/health.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/health.py
@@ -16,12 +16,12 @@
     listed: bool = False
     leaving: bool = False
     hall: HallId = HallId("")
-    heard_s: float = -1.0e9
+    last_seen_s: float = -1.0e9
     report: Report | None = None
 
-    def lost_for_s(self, now_s: float) -> float:
+    def silent_for_s(self, now_s: float) -> float:
         """Return for how long nothing was heard."""
-        return now_s - self.heard_s
+        return now_s - self.last_seen_s
 
 
 __all__ = ["Health"]
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/planner.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/planner.py
@@ -14,19 +14,26 @@
     RefreshGroup,
     ReleaseStandbys,
 )
-from ochreway_nodes.controller.halldrainplan import hall_drained
+from ochreway_nodes.controller.halldrainplan import next_hall_drain_change
 from ochreway_nodes.controller.repair import Damage, Repair, RepairPolicy
-from ochreway_nodes.controller.situation import DRAIN_AT_MOST_S, Situation
+from ochreway_nodes.controller.situation import MAX_DRAIN_S, Situation
 
-LOADS_AT_ONCE = 4
+MAX_CONCURRENT_LOADS = 4
 """How many groups or replacements load weights together, as the weight store is rate-limited."""
 
 
-def plan(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
+def next_change(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
     """Return the most pressing change, or nothing when all is as the bundle wants it."""
     steps = (
-        *(_reformed, _unwanted, _readdressed, _broken, _leaving, hall_drained),
-        *(_missing, _standbys, _outdated),
+        *(
+            _record_formations,
+            _remove_unwanted,
+            _update_addresses,
+            _repair_broken,
+            _replace_leaving,
+            next_hall_drain_change,
+        ),
+        *(_form_missing, _release_standbys, _roll_outdated),
     )
     for step in steps:
         change = step(situation, policy)
@@ -35,7 +42,7 @@
     return None
 
 
-def _reformed(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
+def _record_formations(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
     for row in situation.rows.groups.values():
         health = situation.health.get(row.leader.node)
         reformed = health.report.reformed if health and health.report else None
@@ -48,7 +55,7 @@
     return None
 
 
-def _unwanted(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
+def _remove_unwanted(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
     specs = situation.specs()
     for row in situation.rows.groups.values():
         if row.group in specs:
@@ -57,31 +64,33 @@
             return DissolveGroup(row.group, "not wanted and broken")
         if not row.draining:
             return DrainGroup(row.group, "not wanted")
-        if situation.drained(row):
+        if situation.has_drained(row):
             return DissolveGroup(row.group, "not wanted")
     return None
 
 
-def _fits(row: GroupRow, spec: Group) -> bool:
+def _matches_spec(row: GroupRow, spec: Group) -> bool:
     allowed = set(spec.instances)
-    taken_in = all(peer.node in allowed for peer in row.everyone)
-    return row.target == spec.target and len(row.members) == spec.instances_per_replica and taken_in
+    all_allowed = all(peer.node in allowed for peer in row.everyone)
+    return (
+        row.target == spec.target and len(row.members) == spec.instances_per_replica and all_allowed
+    )
 
 
-def _readdressed(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
+def _update_addresses(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
     """Form a group anew when a member was replaced under its name at another address."""
     specs = situation.specs()
     for row in situation.rows.groups.values():
-        members = tuple(situation.peer_now(peer) for peer in row.members)
-        back = all(situation.usable(peer.node) for peer in members)
-        if row.group in specs and members != row.members and back:
-            kept = [peer for peer in row.standbys if not situation.is_drained(peer.node)]
-            standbys = tuple(situation.peer_now(peer) for peer in kept)
+        members = tuple(situation.current_peer(peer) for peer in row.members)
+        all_usable = all(situation.is_usable(peer.node) for peer in members)
+        if row.group in specs and members != row.members and all_usable:
+            kept = [peer for peer in row.standbys if not situation.in_drained_hall(peer.node)]
+            standbys = tuple(situation.current_peer(peer) for peer in kept)
             return FormGroup(row.group, members, "a member has a new address", (), standbys)
     return None
 
 
-def _broken(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
+def _repair_broken(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
     specs = situation.specs()
     broken = [row for row in situation.rows.groups.values() if situation.lost_members(row)]
     for row in sorted(broken, key=lambda row: (row.priority, row.group)):
@@ -97,39 +106,39 @@
 ) -> GroupChange | None:
     lost = situation.lost_members(row)
     healthy = [peer for peer in row.members if peer not in lost]
-    healthy = [peer for peer in healthy if situation.usable(peer.node)]
+    healthy = [peer for peer in healthy if situation.is_usable(peer.node)]
     needed = spec.instances_per_replica - len(healthy)
-    spares = situation.free(spec)
-    spares += [peer for peer in row.standbys if situation.usable(peer.node)]
-    donor = _remnant(situation, row, spec)
+    spares = situation.free_instances(spec)
+    spares += [peer for peer in row.standbys if situation.is_usable(peer.node)]
+    donor = _joinable_group(situation, row, spec)
     victim = _victim(situation, row, spec)
     damage = Damage(
-        lost=needed,
+        replacements_needed=needed,
         healthy=len(healthy),
-        lost_for_s=max(_lost_for_s(situation, peer) for peer in lost),
-        known_dead=any(not _listed(situation, peer) for peer in lost),
+        silent_for_s=max(_silent_for_s(situation, peer) for peer in lost),
+        known_dead=any(not _is_listed(situation, peer) for peer in lost),
         spares=len(spares),
-        warm=all(situation.is_warm(peer.node, spec) for peer in spares[:needed]),
-        joinable=len(spares) + len(_healthy(situation, donor)),
-        takeable=len(spares) + len(_healthy(situation, victim)),
+        spares_warm=all(situation.is_warm(peer.node, spec) for peer in spares[:needed]),
+        joinable=len(spares) + len(_usable_members(situation, donor)),
+        preemptable=len(spares) + len(_usable_members(situation, victim)),
         priority_ratio=1.0 / (1.0 + (victim.priority - row.priority if victim else 0)),
         weights=situation.bundle.weights,
     )
-    sources: dict[Repair, GroupRow | None] = {Repair.JOIN: donor, Repair.TAKE: victim}
+    sources: dict[Repair, GroupRow | None] = {Repair.JOIN: donor, Repair.PREEMPT: victim}
     repair = policy.choose(damage)
     if repair is Repair.WAIT:
         return None
     source = sources.get(repair)
-    fresh = (spares + _healthy(situation, source))[:needed]
+    replacements = (spares + _usable_members(situation, source))[:needed]
     dissolved = (source.group,) if source is not None and len(spares) < needed else ()
-    left = spares[needed:] if not dissolved else []
-    standbys = tuple(left[: spec.standbys])
-    return FormGroup(row.group, tuple(healthy + fresh), repair.value, dissolved, standbys)
+    remaining_spares = spares[needed:] if not dissolved else []
+    standbys = tuple(remaining_spares[: spec.standbys])
+    return FormGroup(row.group, tuple(healthy + replacements), repair.value, dissolved, standbys)
 
 
-def _remnant(situation: Situation, row: GroupRow, spec: Group) -> GroupRow | None:
+def _joinable_group(situation: Situation, row: GroupRow, spec: Group) -> GroupRow | None:
     """Return another broken group of the section, whose healthy members could join."""
-    others = [
+    eligible = [
         other
         for other in situation.rows.groups.values()
         if other.group != row.group
@@ -137,52 +146,52 @@
         and (other.target, other.priority >= row.priority) == (row.target, True)
         and all(peer.node in spec.instances for peer in other.members)
     ]
-    return max(others, key=lambda other: len(_healthy(situation, other)), default=None)
+    return max(eligible, key=lambda other: len(_usable_members(situation, other)), default=None)
 
 
 def _victim(situation: Situation, row: GroupRow, spec: Group) -> GroupRow | None:
     """Return the least important group whose members this section may use."""
-    others = [
+    eligible = [
         other
         for other in situation.rows.groups.values()
         if other.priority > row.priority and all(p.node in spec.instances for p in other.members)
     ]
-    return max(others, key=lambda other: other.priority, default=None)
+    return max(eligible, key=lambda other: other.priority, default=None)
 
 
-def _healthy(situation: Situation, row: GroupRow | None) -> list[Peer]:
+def _usable_members(situation: Situation, row: GroupRow | None) -> list[Peer]:
     if row is None:
         return []
-    return [peer for peer in row.members if situation.usable(peer.node)]
+    return [peer for peer in row.members if situation.is_usable(peer.node)]
 
 
-def _lost_for_s(situation: Situation, peer: Peer) -> float:
+def _silent_for_s(situation: Situation, peer: Peer) -> float:
     health = situation.health.get(peer.node)
-    return health.lost_for_s(situation.now_s) if health else 1.0e9
+    return health.silent_for_s(situation.now_s) if health else 1.0e9
 
 
-def _listed(situation: Situation, peer: Peer) -> bool:
+def _is_listed(situation: Situation, peer: Peer) -> bool:
     health = situation.health.get(peer.node)
     return health is not None and health.listed
 
 
-def _leaving(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
+def _replace_leaving(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
     specs = situation.specs()
     for row in situation.rows.groups.values():
         staying = [peer for peer in row.members if not situation.is_leaving(peer.node)]
         none_leaves = len(staying) == len(row.members)
-        staying = [peer for peer in staying if not situation.is_drained(peer.node)]
+        staying = [peer for peer in staying if not situation.in_drained_hall(peer.node)]
         if none_leaves or situation.lost_members(row):
             continue
         if row.group not in specs:
             continue
         if not row.draining:
             return DrainGroup(row.group, "a member is leaving")
-        if not situation.drained(row):
+        if not situation.has_drained(row):
             continue
         spec = specs[row.group]
-        spares = situation.free(spec)
-        spares += [peer for peer in row.standbys if situation.usable(peer.node)]
+        spares = situation.free_instances(spec)
+        spares += [peer for peer in row.standbys if situation.is_usable(peer.node)]
         missing = len(row.members) - len(staying)
         if len(spares) >= missing:
             members = tuple(staying + spares[:missing])
@@ -192,14 +201,14 @@
     return None
 
 
-def _missing(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
+def _form_missing(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
     specs = situation.specs()
-    if situation.loading() >= LOADS_AT_ONCE:
+    if situation.loading_count() >= MAX_CONCURRENT_LOADS:
         # The weight store is rate-limited: what matters most is loaded first.
         return None
-    wanted = [item for item in specs.items() if item[0] not in situation.rows.groups]
-    for replica, spec in sorted(wanted, key=lambda item: (item[1].priority, item[0])):
-        free = situation.free(spec)
+    unformed = [item for item in specs.items() if item[0] not in situation.rows.groups]
+    for replica, spec in sorted(unformed, key=lambda item: (item[1].priority, item[0])):
+        free = situation.free_instances(spec)
         size = spec.instances_per_replica
         if len(free) >= size:
             standbys = tuple(free[size : size + spec.standbys])
@@ -207,40 +216,41 @@
     return None
 
 
-def _standbys(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
+def _release_standbys(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
     """Release standbys that are not wanted, or without which a group cannot form."""
     specs = situation.specs()
     for row in situation.rows.groups.values():
         spec = specs.get(row.group)
         if spec is None or not row.standbys:
             continue
-        missing = any(each not in situation.rows.groups for each in spec.replica_ids())
-        missing = missing or any(situation.is_drained(peer.node) for peer in row.standbys)
+        missing = any(replica_id not in situation.rows.groups for replica_id in spec.replica_ids())
+        missing = missing or any(situation.in_drained_hall(peer.node) for peer in row.standbys)
         if len(row.standbys) > spec.standbys or missing:
             return ReleaseStandbys(row.group, "not wanted, or wanted more elsewhere")
     return None
 
 
-def _outdated(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
+def _roll_outdated(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
     specs = situation.specs()
     # An unwanted group may still be draining; it is not a matter of versions.
     rows = [row for row in situation.rows.groups.values() if row.group in specs]
-    down = {row.group for row in rows if row.draining or not situation.serves(row)}
+    down = {row.group for row in rows if row.draining or not situation.is_serving(row)}
     for row in rows:
         spec = specs[row.group]
-        if _fits(row, spec) and row.artifact == situation.bundle.artifact(spec):
-            change = _refresh(situation, row, spec)
+        if _matches_spec(row, spec) and row.artifact == situation.bundle.artifact(spec):
+            change = _refresh_group(situation, row, spec)
         else:
-            change = _renew(situation, row, spec, down)
+            change = _roll_group(situation, row, spec, down)
         if change is not None:
             return change
     return None
 
 
-def _refresh(situation: Situation, row: GroupRow, spec: Group) -> GroupChange | None:
+def _refresh_group(situation: Situation, row: GroupRow, spec: Group) -> GroupChange | None:
     """Reopen a group that drains for nothing, and let new limits take effect."""
     leaving = any(
-        situation.is_leaving(peer.node) or situation.is_drained(peer.node) for peer in row.members
+        situation.is_leaving(peer.node) or situation.in_drained_hall(peer.node)
+        for peer in row.members
     )
     limits = (situation.bundle.slots(spec), spec.priority)
     if (row.draining and not leaving) or limits != (row.slots, row.priority):
@@ -248,27 +258,27 @@
     return None
 
 
-def _renew(
+def _roll_group(
     situation: Situation, row: GroupRow, spec: Group, down: set[GroupId]
 ) -> GroupChange | None:
     """Roll one group: drain it unless it is down anyway, then form it anew."""
-    down_anyway = row.group in down and not row.draining and not situation.lost_members(row)
-    if down_anyway or (row.draining and situation.drained(row)):
-        return _form_anew(situation, row, spec)
+    already_down = row.group in down and not row.draining and not situation.lost_members(row)
+    if already_down or (row.draining and situation.has_drained(row)):
+        return _reform(situation, row, spec)
     if not row.draining and len(down) < situation.bundle.roll.max_groups_down:
         return DrainGroup(row.group, "new version")
     return None
 
 
-def _form_anew(situation: Situation, row: GroupRow, spec: Group) -> GroupChange:
+def _reform(situation: Situation, row: GroupRow, spec: Group) -> GroupChange:
     size = spec.instances_per_replica
-    named = [peer for peer in row.everyone if peer.node in spec.instances]
-    staying = [peer for peer in named if not situation.is_drained(peer.node)]
-    able = staying + situation.free(spec)
-    if len(able) < size:
+    section_members = [peer for peer in row.everyone if peer.node in spec.instances]
+    staying = [peer for peer in section_members if not situation.in_drained_hall(peer.node)]
+    candidates = staying + situation.free_instances(spec)
+    if len(candidates) < size:
         return DissolveGroup(row.group, "new version, and too few instances")
-    standbys = tuple(able[size : size + spec.standbys])
-    return FormGroup(row.group, tuple(able[:size]), "new version", (), standbys)
+    standbys = tuple(candidates[size : size + spec.standbys])
+    return FormGroup(row.group, tuple(candidates[:size]), "new version", (), standbys)
 
 
-__all__ = ["DRAIN_AT_MOST_S", "LOADS_AT_ONCE", "Situation", "plan"]
+__all__ = ["MAX_DRAIN_S", "MAX_CONCURRENT_LOADS", "Situation", "next_change"]
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/repair.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/repair.py
@@ -17,21 +17,21 @@
     WAIT = "wait"
     SPARE = "spare"
     JOIN = "join"
-    TAKE = "take"
+    PREEMPT = "take"
 
 
 @dataclass(frozen=True, slots=True)
 class Damage:
     """Describe a broken group and what could mend it."""
 
-    lost: int
+    replacements_needed: int
     healthy: int
-    lost_for_s: float
+    silent_for_s: float
     known_dead: bool
     spares: int
-    warm: bool
+    spares_warm: bool
     joinable: int
-    takeable: int
+    preemptable: int
     priority_ratio: float
     weights: Weights
 
@@ -40,7 +40,7 @@
 class RepairTuning:
     """Hold what is expected of pauses, replacements and loading."""
 
-    pause_share: float = 0.6
+    pause_probability: float = 0.6
     pause_mean_s: float = 4.0
     replace_s: float = 180.0
     load_s: float = 30.0
@@ -67,9 +67,9 @@
 def repair_policy(name: str) -> Callable[[R], R]:
     """Register a repair policy under a name."""
 
-    def register(kind: R) -> R:
-        REPAIR_POLICIES[name] = kind
-        return kind
+    def register(policy_class: R) -> R:
+        REPAIR_POLICIES[name] = policy_class
+        return policy_class
 
     return register
 
@@ -81,13 +81,13 @@
     def choose(self, damage: Damage) -> Repair:
         """Return the possible repair of least cost."""
         costs = {Repair.WAIT: self._wait_cost(damage)}
-        if damage.spares >= damage.lost:
-            mend_s = self.tuning.rewire_s if damage.warm else self.tuning.load_s
-            costs[Repair.SPARE] = self._outage_cost(damage, mend_s)
-        if damage.joinable >= damage.lost:
+        if damage.spares >= damage.replacements_needed:
+            repair_s = self.tuning.rewire_s if damage.spares_warm else self.tuning.load_s
+            costs[Repair.SPARE] = self._outage_cost(damage, repair_s)
+        if damage.joinable >= damage.replacements_needed:
             costs[Repair.JOIN] = self._outage_cost(damage, self.tuning.load_s)
-        if damage.takeable >= damage.lost:
-            costs[Repair.TAKE] = self._take_cost(damage)
+        if damage.preemptable >= damage.replacements_needed:
+            costs[Repair.PREEMPT] = self._preempt_cost(damage)
         return min(costs, key=lambda repair: costs[repair])
 
     def _outage_cost(self, damage: Damage, outage_s: float) -> float:
@@ -97,10 +97,10 @@
     def _wait_cost(self, damage: Damage) -> float:
         return self._outage_cost(damage, self.expected_return_s(damage))
 
-    def _take_cost(self, damage: Damage) -> float:
-        moved_s = self._outage_cost(damage, self.tuning.load_s)
-        other_s = damage.priority_ratio * damage.weights.downtime * self.tuning.replace_s
-        return moved_s + other_s
+    def _preempt_cost(self, damage: Damage) -> float:
+        own_cost = self._outage_cost(damage, self.tuning.load_s)
+        victim_cost = damage.priority_ratio * damage.weights.downtime * self.tuning.replace_s
+        return own_cost + victim_cost
 
     def expected_return_s(self, damage: Damage) -> float:
         """Return how long the lost members are expected to stay away from now on.
@@ -110,9 +110,11 @@
         tuning = self.tuning
         if damage.known_dead:
             return tuning.replace_s
-        paused = tuning.pause_share * math.exp(-damage.lost_for_s / tuning.pause_mean_s)
-        share = paused / (paused + 1.0 - tuning.pause_share)
-        return share * tuning.pause_mean_s + (1.0 - share) * tuning.replace_s
+        pause_weight = tuning.pause_probability * math.exp(
+            -damage.silent_for_s / tuning.pause_mean_s
+        )
+        posterior = pause_weight / (pause_weight + 1.0 - tuning.pause_probability)
+        return posterior * tuning.pause_mean_s + (1.0 - posterior) * tuning.replace_s
 
 
 @repair_policy("wait_then_spare")
@@ -121,8 +123,8 @@
 
     def choose(self, damage: Damage) -> Repair:
         """Return a spare once the wait is over and there are enough."""
-        waited = damage.lost_for_s >= self.tuning.baseline_wait_s
-        enough = damage.spares >= damage.lost
+        waited = damage.silent_for_s >= self.tuning.baseline_wait_s
+        enough = damage.spares >= damage.replacements_needed
         return Repair.SPARE if waited and enough else Repair.WAIT
 
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/rowwrites.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/rowwrites.py
@@ -40,7 +40,7 @@
     instances: dict[NodeId, InstanceRow | None] = field(default_factory=dict)
 
     @property
-    def changed(self) -> list[GroupId]:
+    def changed_groups(self) -> list[GroupId]:
         """Return the groups that stand after the change and differ by it."""
         return [group for group, row in self.groups.items() if row is not None]
 
@@ -88,7 +88,7 @@
     return writes
 
 
-def _form(writes: RowWrites, change: FormGroup, source: SpecSource) -> None:
+def _form_group(writes: RowWrites, change: FormGroup, source: SpecSource) -> None:
     for dissolved in change.dissolve:
         _free_group(writes, dissolved)
     if change.group in writes.before.groups:
@@ -114,13 +114,13 @@
         writes.instances[peer.node] = InstanceRow(peer.node, change.group, writes.lease.counter)
 
 
-def _record(writes: RowWrites, change: RecordFormation, source: SpecSource) -> None:
-    known = writes.before.groups[change.group]
-    step = max(known.step, change.row.step) + 1
-    writes.groups[change.group] = replace(change.row, step=step, draining=known.draining)
+def _record_formation(writes: RowWrites, change: RecordFormation, source: SpecSource) -> None:
+    known_row = writes.before.groups[change.group]
+    step = max(known_row.step, change.row.step) + 1
+    writes.groups[change.group] = replace(change.row, step=step, draining=known_row.draining)
 
 
-def _release(writes: RowWrites, change: ReleaseStandbys, source: SpecSource) -> None:
+def _release_standbys(writes: RowWrites, change: ReleaseStandbys, source: SpecSource) -> None:
     row = writes.before.groups[change.group]
     writes.groups[change.group] = replace(row, step=row.step + 1, standbys=())
     for peer in row.standbys:
@@ -135,15 +135,15 @@
 
 
 def _spec_of(group: GroupId, source: SpecSource) -> Group:
-    return next(each for each in source.bundle.group if group in each.replica_ids())
+    return next(section for section in source.bundle.group if group in section.replica_ids())
 
 
-def _drain(writes: RowWrites, change: DrainGroup, source: SpecSource) -> None:
+def _drain_group(writes: RowWrites, change: DrainGroup, source: SpecSource) -> None:
     row = writes.before.groups[change.group]
     writes.groups[change.group] = replace(row, step=row.step + 1, draining=True)
 
 
-def _refresh(writes: RowWrites, change: RefreshGroup, source: SpecSource) -> None:
+def _refresh_group(writes: RowWrites, change: RefreshGroup, source: SpecSource) -> None:
     row = writes.before.groups[change.group]
     spec = _spec_of(change.group, source)
     writes.groups[change.group] = replace(
@@ -156,17 +156,17 @@
     )
 
 
-def _dissolve(writes: RowWrites, change: DissolveGroup, source: SpecSource) -> None:
+def _dissolve_group(writes: RowWrites, change: DissolveGroup, source: SpecSource) -> None:
     _free_group(writes, change.group)
 
 
 _WRITERS: dict[type, Callable[[RowWrites, Any, SpecSource], None]] = {
-    FormGroup: _form,
-    RecordFormation: _record,
-    ReleaseStandbys: _release,
-    DrainGroup: _drain,
-    RefreshGroup: _refresh,
-    DissolveGroup: _dissolve,
+    FormGroup: _form_group,
+    RecordFormation: _record_formation,
+    ReleaseStandbys: _release_standbys,
+    DrainGroup: _drain_group,
+    RefreshGroup: _refresh_group,
+    DissolveGroup: _dissolve_group,
 }
 
 __all__ = ["RowWrites", "SpecSource", "writes_for"]
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/tally.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/tally.py
@@ -15,21 +15,22 @@
     down_s: dict[GroupId, float] = field(default_factory=dict)
     stranded: int = 0
     stranded_instance_s: float = 0.0
-    _counted_s: float | None = None
+    _last_counted_s: float | None = None
 
-    def count(self, situation: Situation) -> None:
+    def accumulate(self, situation: Situation) -> None:
         """Add what has passed since the last count."""
         now_s = situation.now_s
-        passed_s = now_s - self._counted_s if self._counted_s is not None else 0.0
-        self._counted_s = now_s
+        elapsed_s = now_s - self._last_counted_s if self._last_counted_s is not None else 0.0
+        self._last_counted_s = now_s
         rows = situation.rows.groups
         self.serving = {
-            group: group in rows and situation.serves(rows[group]) for group in situation.specs()
+            group: group in rows and situation.is_serving(rows[group])
+            for group in situation.specs()
         }
         for group, serves in self.serving.items():
-            self.down_s[group] = self.down_s.get(group, 0.0) + (0.0 if serves else passed_s)
+            self.down_s[group] = self.down_s.get(group, 0.0) + (0.0 if serves else elapsed_s)
         self.stranded = self._stranded(situation)
-        self.stranded_instance_s += self.stranded * passed_s
+        self.stranded_instance_s += self.stranded * elapsed_s
 
     def _stranded(self, situation: Situation) -> int:
         working = {
@@ -38,8 +39,8 @@
             if self.serving.get(group)
             for peer in row.members
         }
-        named = {name for spec in situation.specs().values() for name in spec.instances}
-        return sum(situation.usable(name) for name in named - working)
+        section_nodes = {name for spec in situation.specs().values() for name in spec.instances}
+        return sum(situation.is_usable(name) for name in section_nodes - working)
 
 
 __all__ = ["Tally"]
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/node.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/node.py
@@ -44,7 +44,7 @@
 from ochreway_core.table import CommitReply, ReadReply
 from ochreway_core.timing import Timing
 from ochreway_core.view import Snapshot, View
-from ochreway_nodes.controller.controller import CANDIDATES, Controller
+from ochreway_nodes.controller.controller import LEASE_CANDIDATES, Controller
 from ochreway_nodes.controller.repair import REPAIR_POLICIES, RepairTuning
 from ochreway_nodes.entry.calls import Calls
 from ochreway_nodes.entry.crashes import Crashes
@@ -269,7 +269,7 @@
         self.keeper.tick(now_s)
         self._close_halls(now_s)
         for domain, controller in self.controllers.items():
-            controller.observe(self.keeper.leases.get(domain), now_s)
+            controller.observe_lease(self.keeper.leases.get(domain), now_s)
             controller.tick(now_s)
         self.calls.tick(now_s)
         self.crashes.set_neighbours([*self.keeper.neighbours(), *self._other_readers])
@@ -283,7 +283,7 @@
         """Begin a planned stop: give leases up; the caller stops new requests."""
         self.stopping = True
         for controller in self.controllers.values():
-            controller.release(now_s)
+            controller.release_lease(now_s)
 
     def may_stop(self) -> bool:
         """Tell whether a planned stop would cut nothing."""
@@ -312,7 +312,7 @@
         self._outbox.log("halls_closed", halls=",".join(sorted(closed)))
         self._closed_halls = closed
         for controller in self.controllers.values():
-            controller.drain_halls(self.drains.halls, closed)
+            controller.set_drained_halls(self.drains.halls, closed)
         self._set_replicas()
 
     def _set_controllers(self, now_s: float) -> None:
@@ -325,7 +325,7 @@
         for domain in sorted(domains):
             controller = self.controllers.get(domain)
             place = self._rank(domain, entries)
-            if controller is None and place >= CANDIDATES:
+            if controller is None and place >= LEASE_CANDIDATES:
                 continue
             if controller is None:
                 controller = Controller(
@@ -342,7 +342,7 @@
             controller.rank = place
             controller.configure(bundle, self.version)
             controller.on_listing(self.listing)
-            controller.drain_halls(self.drains.halls, self._closed_halls)
+            controller.set_drained_halls(self.drains.halls, self._closed_halls)
 
     def _take_own_groups(self) -> None:
         for domain, controller in self.controllers.items():
--- a/packages/ochreway-standins/src/ochreway_standins/slopes/setups.py
+++ b/packages/ochreway-standins/src/ochreway_standins/slopes/setups.py
@@ -220,8 +220,8 @@
             },
         )
         self.controller.holding = True
-        self.controller._fresh = True
-        self.controller._plan = lambda rows, now_s: self._count(rows, now_s)  # type: ignore[method-assign]
+        self.controller._rows_fresh = True
+        self.controller._plan_change = lambda rows, now_s: self._count(rows, now_s)  # type: ignore[method-assign]
         self._rows = {member.node: row for row in rows for member in row.members}
         self.controller.health = {
             member.node: Health(peer=member, listed=True) for row in rows for member in row.members
@@ -229,7 +229,7 @@
 
     def _count(self, rows: DomainRows, now_s: float) -> None:
         assert self.controller._bundle is not None
-        self.controller.tally.count(
+        self.controller.tally.accumulate(
             self.controller._situation(self.controller._bundle, rows, now_s)
         )
 
--- a/packages/ochreway-standins/src/ochreway_standins/soak/faults.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/faults.py
@@ -252,11 +252,11 @@
             continue
         for controller in node.controllers.values():
             rows = controller.rows
-            groups = list(rows.groups.values()) if rows and controller.at_rest else []
+            groups = list(rows.groups.values()) if rows and controller.can_commit else []
             groups = [row for row in groups if len(row.members) > 1]
             if len(groups) > 1:
                 change = regroup(faults, process, *faults.world.random.sample(groups, 2))
-                faults.world.post(process, partial(controller.change, change))
+                faults.world.post(process, partial(controller.commit_change, change))
 
 
 @fault("regroup")
--- a/tests/nodes/test_halldrain.py
+++ b/tests/nodes/test_halldrain.py
@@ -36,7 +36,7 @@
         self.world.clock.at(ROLL_S, lambda: operator.roll(body, lambda version: None))
         self.run_until(DRAIN_S)
         self.assertEqual(["care-0", "care-1", "roster-0", "roster-1"], self.groups())
-        self.assertNotEqual([], self.there())
+        self.assertNotEqual([], self.groups_in_drained_hall())
 
     def run_until(self, at_s: float) -> None:
         self.world.clock.run_until(at_s)
@@ -48,7 +48,7 @@
     def groups(self) -> list[str]:
         return sorted(row.group for row in self.rows())
 
-    def there(self) -> list[str]:
+    def groups_in_drained_hall(self) -> list[str]:
         """Return the groups that need an instance in the hall."""
         return sorted(
             row.group
@@ -57,12 +57,12 @@
         )
 
     def entries(self) -> list[tuple[Process, EntryNode]]:
-        found = [(each, each.node) for each in self.world.entries() if each.running]
-        return [(each, node) for each, node in found if isinstance(node, EntryNode)]
+        live = [(entry, entry.node) for entry in self.world.entries() if entry.running]
+        return [(entry, node) for entry, node in live if isinstance(node, EntryNode)]
 
     def serving(self) -> set[str]:
         """Return the groups whose leader takes work now."""
-        found = set()
+        serving_groups = set()
         for process in self.world.agents():
             agent = process.node
             assert isinstance(agent, AgentNode)
@@ -71,10 +71,10 @@
                 continue
             now_s = process.local_s(self.world.clock.now_s)
             if agent.membership.closed_because(now_s) is Reason.NONE:
-                found.add(str(row.group))
-        return found
+                serving_groups.add(str(row.group))
+        return serving_groups
 
-    def sends_nothing_there(self, process: Process, node: EntryNode) -> bool:
+    def sends_nothing_to_drained_hall(self, process: Process, node: EntryNode) -> bool:
         return all(
             replica.leaving
             for row in self.rows()
@@ -82,30 +82,30 @@
             and any(hall_of(peer.node) == OTHER_HALL for peer in row.members)
         )
 
-    def test_groups_are_replaced_elsewhere_and_back_when_it_is_restored(self) -> None:
+    def test_groups_move_out_of_a_drained_hall_and_back_when_it_is_restored(self) -> None:
         self.halls.want(OTHER_HALL)
-        least = 4
+        min_serving = 4
         for tenth in range(int(EMPTY_WITHIN_S * 10)):
             self.run_until(DRAIN_S + tenth / 10)
-            care = [each for each in self.serving() if each.startswith("care")]
-            least = min(least, len(care))
+            care = [served for served in self.serving() if served.startswith("care")]
+            min_serving = min(min_serving, len(care))
         # One goes down at a time, as in a roll; the plain target has no replacement.
-        self.assertGreaterEqual(least, 1)
-        self.assertEqual([], self.there())
+        self.assertGreaterEqual(min_serving, 1)
+        self.assertEqual([], self.groups_in_drained_hall())
         self.assertEqual({"care-0", "care-1", "roster-1"}, self.serving())
         self.halls.want()
         self.run_until(DRAIN_S + EMPTY_WITHIN_S + SERVES_WITHIN_S)
         self.assertEqual({"care-0", "care-1", "roster-0", "roster-1"}, self.serving())
-        self.assertEqual(["roster-0"], self.there())
+        self.assertEqual(["roster-0"], self.groups_in_drained_hall())
 
-    def test_given_back_within_its_time_nothing_was_lost(self) -> None:
+    def test_a_hall_restored_within_the_grace_period_loses_no_group(self) -> None:
         self.halls.want(OTHER_HALL)
         self.world.clock.at(DRAIN_S + 0.6, self.halls.want)
         self.run_until(DRAIN_S + EMPTY_WITHIN_S)
         self.assertEqual({"care-0", "care-1", "roster-0", "roster-1"}, self.serving())
-        self.assertIn("roster-0", self.there())
+        self.assertIn("roster-0", self.groups_in_drained_hall())
 
-    def test_the_next_holder_of_the_lease_goes_on(self) -> None:
+    def test_the_next_lease_holder_continues_the_drain(self) -> None:
         self.halls.want(OTHER_HALL)
         self.run_until(DRAIN_S + 1.5)
         holder = next(
@@ -115,19 +115,19 @@
         )
         self.world.kill(holder.peer.node, whole_instance=True)
         self.run_until(DRAIN_S + EMPTY_WITHIN_S + self.world.shape.timing.lease_s)
-        self.assertEqual([], self.there())
+        self.assertEqual([], self.groups_in_drained_hall())
         self.assertEqual({"care-0", "care-1", "roster-1"}, self.serving())
 
-    def test_without_the_table_entries_send_nothing_there_once_its_time_is_over(self) -> None:
+    def test_without_the_table_entries_stop_sending_after_the_grace_period(self) -> None:
         self.halls.want(OTHER_HALL)
-        heard_s = DRAIN_S + 2.0
-        self.world.clock.at(heard_s, partial(setattr, self.world.platform, "mode", Mode.DOWN))
-        self.run_until(heard_s)
+        table_down_s = DRAIN_S + 2.0
+        self.world.clock.at(table_down_s, partial(setattr, self.world.platform, "mode", Mode.DOWN))
+        self.run_until(table_down_s)
         self.assertEqual({1}, {node.drains.newest.version for _, node in self.entries()})
-        self.run_until(heard_s + self.world.shape.timing.hall_drain_s + 0.5)
-        self.assertNotEqual([], self.there())
+        self.run_until(table_down_s + self.world.shape.timing.hall_drain_s + 0.5)
+        self.assertNotEqual([], self.groups_in_drained_hall())
         for process, node in self.entries():
-            self.assertTrue(self.sends_nothing_there(process, node), process.peer.node)
+            self.assertTrue(self.sends_nothing_to_drained_hall(process, node), process.peer.node)
 
     def test_without_the_table_from_the_start_nothing_changes(self) -> None:
         self.world.platform.mode = Mode.DOWN
@@ -135,7 +135,7 @@
         self.run_until(DRAIN_S + EMPTY_WITHIN_S)
         self.assertEqual({"care-0", "care-1", "roster-0", "roster-1"}, self.serving())
 
-    def test_an_entry_that_starts_in_the_midst_sends_nothing_there_at_once(self) -> None:
+    def test_an_entry_started_during_a_drain_sends_nothing_to_the_hall(self) -> None:
         self.halls.want(OTHER_HALL)
         self.run_until(DRAIN_S + 2.0)
         name = NodeId("entry-2")
@@ -148,9 +148,9 @@
             self.run_until(self.world.clock.now_s + 0.1)
         local_s = process.local_s(self.world.clock.now_s)
         self.assertEqual({OTHER_HALL}, node.drains.closed(local_s))
-        self.assertTrue(self.sends_nothing_there(process, node))
+        self.assertTrue(self.sends_nothing_to_drained_hall(process, node))
 
-    def test_a_message_that_comes_late_drains_nothing_again(self) -> None:
+    def test_a_late_message_does_not_drain_a_restored_hall(self) -> None:
         self.halls.want(OTHER_HALL)
         self.run_until(DRAIN_S + 2.0)
         self.halls.want()
@@ -162,15 +162,15 @@
             self.world.post(process, handle)
             self.assertEqual(frozenset(), node.drains.halls)
 
-    def test_one_that_the_table_does_not_answer_hears_of_it_from_others(self) -> None:
-        deaf, _ = self.entries()[0]
-        read = self.world._table_read
+    def test_an_entry_cut_off_from_the_table_learns_of_the_drain_from_others(self) -> None:
+        cut_off, _ = self.entries()[0]
+        table_read = self.world._table_read
 
-        def unheard(process: Process, effect: TableRead) -> None:
-            if process is not deaf:
-                read(process, effect)
+        def read_unless_cut_off(process: Process, effect: TableRead) -> None:
+            if process is not cut_off:
+                table_read(process, effect)
 
-        self.world._runners[TableRead] = unheard
+        self.world._runners[TableRead] = read_unless_cut_off
         self.halls.want(OTHER_HALL)
         self.run_until(DRAIN_S + 10.0)
         self.assertEqual({1}, {node.drains.newest.version for _, node in self.entries()})
--- a/tests/nodes/test_planner.py
+++ b/tests/nodes/test_planner.py
@@ -18,7 +18,7 @@
     ReleaseStandbys,
 )
 from ochreway_nodes.controller.health import Health
-from ochreway_nodes.controller.planner import Situation, plan
+from ochreway_nodes.controller.planner import Situation, next_change
 from ochreway_nodes.controller.repair import ExpectedCost, RepairTuning, WaitThenSpare
 
 DOMAIN = DomainId("d1")
@@ -54,7 +54,7 @@
         super().setUp()
         self.rows = DomainRows(DOMAIN)
         self.health = {
-            NodeId(name): Health(peer(name), listed=True, heard_s=NOW_S) for name in "abcdefgh"
+            NodeId(name): Health(peer(name), listed=True, last_seen_s=NOW_S) for name in "abcdefgh"
         }
 
     def add_group(self, name: str, members: str, epoch: int, **more: object) -> GroupRow:
@@ -70,12 +70,12 @@
             step=0,
             version=Version(1),
             draining=bool(more.get("draining", False)),
-            members=tuple(peer(each) for each in members),
-            standbys=tuple(peer(each) for each in str(more.get("standbys", ""))),
+            members=tuple(peer(member) for member in members),
+            standbys=tuple(peer(standby) for standby in str(more.get("standbys", ""))),
         )
         self.rows.groups[row.group] = row
-        for each in row.everyone:
-            self.rows.instances[each.node] = InstanceRow(each.node, row.group, row.epoch)
+        for assigned in row.everyone:
+            self.rows.instances[assigned.node] = InstanceRow(assigned.node, row.group, row.epoch)
         self.report(row)
         return row
 
@@ -95,8 +95,8 @@
             (),
         )
 
-    def lose(self, name: str, for_s: float) -> None:
-        self.health[NodeId(name)].heard_s = NOW_S - for_s
+    def lose(self, name: str, silent_s: float) -> None:
+        self.health[NodeId(name)].last_seen_s = NOW_S - silent_s
 
     def situation(self, wanted: Bundle | None = None) -> Situation:
         return Situation(wanted or bundle(), self.rows, self.health, 4.0, {}, NOW_S)
@@ -104,9 +104,9 @@
     def planned(self, wanted: Bundle | None = None, baseline: bool = False) -> GroupChange | None:
         situation = self.situation(wanted)
         policy = WaitThenSpare if baseline else ExpectedCost
-        return plan(situation, policy(RepairTuning()))
+        return next_change(situation, policy(RepairTuning()))
 
-    def both(self, **more: object) -> tuple[GroupRow, GroupRow]:
+    def add_two_groups(self, **more: object) -> tuple[GroupRow, GroupRow]:
         return self.add_group("care-0", "abc", 1, **more), self.add_group("care-1", "def", 2)
 
 
@@ -116,33 +116,33 @@
         assert isinstance(change, FormGroup)
         self.assertEqual(("care-0", 3), (change.group, len(change.members)))
 
-    def test_all_well_changes_nothing(self) -> None:
-        self.both()
+    def test_no_change_when_groups_match_the_bundle(self) -> None:
+        self.add_two_groups()
         self.assertIsNone(self.planned())
 
     def test_dead_member_is_replaced_by_a_spare(self) -> None:
-        first, _ = self.both()
+        first, _ = self.add_two_groups()
         self.lose("b", 20.0)
         self.report(first, Reason.GROUP_INCOMPLETE)
         change = self.planned()
         assert isinstance(change, FormGroup)
-        self.assertEqual({"a", "c", "g"}, {each.node for each in change.members})
+        self.assertEqual({"a", "c", "g"}, {chosen.node for chosen in change.members})
 
     def test_member_that_only_the_controller_misses_is_left_alone(self) -> None:
-        self.both()
+        self.add_two_groups()
         self.lose("b", 20.0)
         self.assertIsNone(self.planned())
 
-    def test_baseline_waits(self) -> None:
-        first, _ = self.both()
+    def test_baseline_policy_waits_before_using_a_spare(self) -> None:
+        first, _ = self.add_two_groups()
         self.lose("b", 20.0)
         self.report(first, Reason.GROUP_INCOMPLETE)
         self.assertIsNone(self.planned(baseline=True))
         self.lose("b", 90.0)
         self.assertIsInstance(self.planned(baseline=True), FormGroup)
 
-    def test_remnants_are_joined_when_there_is_no_spare(self) -> None:
-        first, second = self.both()
+    def test_broken_groups_are_joined_when_there_is_no_spare(self) -> None:
+        first, second = self.add_two_groups()
         for name in "begh":
             self.lose(name, 20.0)
         self.report(first, Reason.GROUP_INCOMPLETE)
@@ -152,33 +152,33 @@
         self.assertEqual(("care-1",), change.dissolve)
         self.assertEqual(3, len(change.members))
 
-    def test_only_so_many_groups_go_down_for_a_version(self) -> None:
-        self.both()
+    def test_max_groups_down_bounds_a_roll(self) -> None:
+        self.add_two_groups()
         self.assertIsInstance(self.planned(bundle(version="2")), DrainGroup)
-        self.both(draining=True)
+        self.add_two_groups(draining=True)
         self.assertIsNone(self.planned(bundle(version="2")))
 
     def test_drained_group_is_formed_with_the_new_version(self) -> None:
-        first, _ = self.both(draining=True)
+        first, _ = self.add_two_groups(draining=True)
         self.report(first, Reason.DRAINING, drained=True)
         self.assertIsInstance(self.planned(bundle(version="2")), FormGroup)
 
-    def test_draining_for_nothing_is_ended(self) -> None:
-        self.both(draining=True)
+    def test_group_draining_without_a_reason_is_reopened(self) -> None:
+        self.add_two_groups(draining=True)
         self.assertIsInstance(self.planned(), RefreshGroup)
 
     def test_leaving_member_drains_its_group_then_a_spare_takes_its_place(self) -> None:
-        self.both()
+        self.add_two_groups()
         self.health[NodeId("b")].leaving = True
         self.assertIsInstance(self.planned(), DrainGroup)
-        first, _ = self.both(draining=True)
+        first, _ = self.add_two_groups(draining=True)
         self.report(first, Reason.DRAINING, drained=True)
         change = self.planned()
         assert isinstance(change, FormGroup)
-        self.assertNotIn("b", {each.node for each in change.members})
+        self.assertNotIn("b", {chosen.node for chosen in change.members})
 
-    def test_member_at_a_new_address(self) -> None:
-        self.both()
+    def test_member_at_a_new_address_is_updated(self) -> None:
+        self.add_two_groups()
         self.health[NodeId("b")].peer = Peer(NodeId("b"), "elsewhere:1")
         change = self.planned()
         assert isinstance(change, FormGroup)
@@ -188,11 +188,11 @@
         change = self.planned(bundle(standbys=1))
         assert isinstance(change, FormGroup)
         self.assertEqual(1, len(change.standbys))
-        self.both(standbys="g")
+        self.add_two_groups(standbys="g")
         self.assertIsInstance(self.planned(), ReleaseStandbys)
 
     def test_unwanted_group_is_drained_then_dissolved(self) -> None:
-        self.both()
+        self.add_two_groups()
         other = self.add_group("old-0", "gh", 3)
         self.assertIsInstance(self.planned(), DrainGroup)
         self.rows.groups.pop(other.group)
--- a/tests/nodes/test_warming.py
+++ b/tests/nodes/test_warming.py
@@ -12,14 +12,14 @@
 from ochreway_core.reason import Reason
 from ochreway_core.rows import LeaseRow
 from ochreway_core.timing import Timing
-from ochreway_nodes.controller.controller import WARM_EVERY_S, Controller
+from ochreway_nodes.controller.controller import WARM_INTERVAL_S, Controller
 from ochreway_nodes.controller.health import Health
-from ochreway_nodes.controller.planner import LOADS_AT_ONCE
+from ochreway_nodes.controller.planner import MAX_CONCURRENT_LOADS
 from ochreway_nodes.controller.repair import ExpectedCost, RepairTuning
 from ochreway_nodes.outbox import Outbox
 from tests.nodes.test_planner import DOMAIN, NOW_S, PlannerCase, bundle
 
-HERE, THERE = HallId("here"), HallId("there")
+OPEN_HALL, DRAINED_HALL = HallId("here"), HallId("there")
 ME = NodeId("entry-1")
 NAMES = "abcdefghijkl"
 
@@ -32,8 +32,8 @@
         free = set(NAMES) - set(self.health)
         self.health |= {NodeId(name): _health(name) for name in free}
         for name, health in self.health.items():
-            health.hall = THERE if name in "abcdef" else HERE
-        self.groups = self.both()
+            health.hall = DRAINED_HALL if name in "abcdef" else OPEN_HALL
+        self.groups = self.add_two_groups()
         self.rows.lease = LeaseRow(ME, Term(1), 1, Epoch(2))
         self.outbox = Outbox()
         self.controller = self._controller(bundle(NAMES))
@@ -47,39 +47,39 @@
         controller.configure(wanted, Version(1))
         controller.rows = self.rows
         controller.health = self.health
-        controller.drain_halls(frozenset((THERE,)), frozenset())
+        controller.set_drained_halls(frozenset((DRAINED_HALL,)), frozenset())
         return controller
 
-    def warmed(self, now_s: float = NOW_S) -> list[Peer]:
+    def warm_recipients(self, now_s: float = NOW_S) -> list[Peer]:
         """Return who is told to load as a second has passed."""
-        self.controller._warmed_s = now_s - WARM_EVERY_S
+        self.controller._last_warm_s = now_s - WARM_INTERVAL_S
         self.controller._warm_spares(self.rows, now_s)
-        sent = [each for each in self.outbox.take() if isinstance(each, Send)]
-        return [each.peer for each in sent if isinstance(each.message, Warm)]
+        sends = [effect for effect in self.outbox.take() if isinstance(effect, Send)]
+        return [send.peer for send in sends if isinstance(send.message, Warm)]
 
-    def test_so_many_replacements_load_at_once_as_groups_may_form(self) -> None:
-        first = self.warmed()
-        self.assertEqual(LOADS_AT_ONCE, len(first))
-        self.assertEqual(first, self.warmed())
+    def test_replacements_load_within_the_bound_on_concurrent_loads(self) -> None:
+        first = self.warm_recipients()
+        self.assertEqual(MAX_CONCURRENT_LOADS, len(first))
+        self.assertEqual(first, self.warm_recipients())
 
-    def test_the_next_load_once_those_before_are_warm(self) -> None:
-        first = self.warmed()
+    def test_further_replacements_load_once_the_first_are_warm(self) -> None:
+        first = self.warm_recipients()
         row = self.groups[0]
         for peer in first:
-            self._load(peer, row.artifact)
-        later = self.warmed()
-        self.assertEqual(6 - LOADS_AT_ONCE, len(later))
+            self._set_warm(peer, row.artifact)
+        later = self.warm_recipients()
+        self.assertEqual(6 - MAX_CONCURRENT_LOADS, len(later))
         self.assertEqual(set(), set(first) & set(later))
 
-    def test_groups_that_form_take_of_the_bound(self) -> None:
+    def test_forming_groups_count_against_the_bound(self) -> None:
         self.report(self.groups[1], Reason.GROUP_INCOMPLETE)
-        self.assertEqual(LOADS_AT_ONCE - 1, len(self.warmed()))
+        self.assertEqual(MAX_CONCURRENT_LOADS - 1, len(self.warm_recipients()))
 
-    def _load(self, peer: Peer, artifact: str) -> None:
+    def _set_warm(self, peer: Peer, artifact: str) -> None:
         report = self.health[self.groups[0].leader.node].report
         assert report is not None
         self.health[peer.node].report = replace(report, node=peer.node, group="", artifact=artifact)
 
 
 def _health(name: str) -> Health:
-    return Health(Peer(NodeId(name), f"{name}:1"), listed=True, heard_s=NOW_S)
+    return Health(Peer(NodeId(name), f"{name}:1"), listed=True, last_seen_s=NOW_S)
