--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/controller.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/controller.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A fabric domain's controller: lease, plan, commit, push."""
+"""The controller of one fabric domain: lease, planning, commits and orders to agents."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -28,15 +28,18 @@
 from ochreway_nodes.outbox import Outbox
 
 LEASE_CANDIDATES = 3
-"""How many entries watch a domain's lease, by rendezvous."""
+"""Number of entries that watch a domain's lease, chosen by rendezvous hashing."""
 TAKEOVER_STAGGER_FRACTION = 0.5
+"""Extra wait per candidate rank before taking over a lease, as a fraction of its renewal."""
 BACKOFF_BASE_S = 0.5
 WARM_INTERVAL_S = 1.0
+"""Interval between rounds of warm-up orders."""
 MAX_SPARE_LOADS = 1
+"""Bound on warm-up orders to spares in one round."""
 
 
 class Phase(Enum):
-    """Say what the controller waits for."""
+    """What the controller is waiting for."""
 
     IDLE = "idle"
     READING = "reading"
@@ -45,7 +48,7 @@
 
 @dataclass(slots=True)
 class _ObservedLease:
-    """Hold another holder's lease and since when it has not moved."""
+    """The newest known lease row and the time since which it has not changed."""
 
     lease: LeaseRow | None
     unchanged_since_s: float
@@ -53,16 +56,18 @@
 
 @dataclass(slots=True)
 class _PendingCall:
+    """A call to the table that has not been answered yet."""
+
     call: int
     sent_s: float
     writes: RowWrites | None = None
 
 
 class Controller:
-    """Hold or watch one domain's lease, and change its groups while holding it.
+    """Watch or hold one domain's lease, and change the domain's groups while holding it.
 
-    Every transaction requires the lease row to stand as this holder last wrote it, so a
-    holder that slept through its lease cannot write.
+    Every transaction requires the lease row to be unchanged since this holder last wrote it. A
+    holder that was suspended until its lease was taken over therefore cannot write.
     """
 
     def __init__(
@@ -103,16 +108,16 @@
         self._bundle: Bundle | None = None
         self._version = Version(0)
 
-    # What others say
+    # Inputs
 
     def configure(self, bundle: Bundle, version: Version) -> None:
-        """Take the bundle in force, and let the domain's agents hear of it at once."""
+        """Set the bundle in force, and probe the domain's agents at the next tick."""
         self._last_probe_s = -1.0e9
         self._bundle = bundle
         self._version = version
 
     def on_listing(self, instances: Mapping[NodeId, ListedInstance]) -> None:
-        """Take in the platform's list."""
+        """Update the health records from the platform's list of instances."""
         for node in sorted(self._section_nodes() | self.health.keys()):
             health = self.health.setdefault(node, Health())
             listed = instances.get(node)
@@ -123,7 +128,7 @@
                 health.hall = listed.hall
 
     def set_drained_halls(self, drained: frozenset[HallId], closed: frozenset[HallId]) -> None:
-        """Use no instance in drained halls any more; in closed ones no group serves on."""
+        """Set the halls whose instances join no group, and those where no group keeps serving."""
         self._drained_halls = drained
         self._closed_halls = closed
 
@@ -134,7 +139,7 @@
         return {NodeId(name) for group in groups for name in group.instances}
 
     def on_report(self, report: Report, now_s: float) -> None:
-        """Take in an agent's report, and answer it with the rows that it lacks."""
+        """Record an agent's report, and answer with the group row if the agent's is out of date."""
         health = self.health.get(report.node)
         if health is None:
             return
@@ -145,7 +150,7 @@
             self._mark_members_seen(report, self.rows, now_s)
 
     def _mark_members_seen(self, report: Report, rows: DomainRows, now_s: float) -> None:
-        """Take a leader's word for the members whose grants it has."""
+        """Count members as alive when their leader reports to hold their grants."""
         row = rows.groups.get(report.group)
         if row is None or row.leader.node != report.node or row.epoch != report.epoch:
             return
@@ -166,19 +171,19 @@
             self._outbox.send(health.peer, Dismiss(self.domain, rows.lease.counter))
 
     def observe_lease(self, lease: LeaseRow | None, now_s: float) -> None:
-        """Take in the lease row as a read showed it; an older one came late."""
+        """Record a lease row that was read, unless a newer one is known already."""
         known = self._observed.lease
         if lease is None or _lease_order(lease) <= _lease_order(known):
             return
         self._observed = _ObservedLease(lease, now_s)
         if not self.holding and lease.holder != self._me:
-            # Another holds the lease: what was read before is no basis for orders any more.
+            # Another entry holds the lease, so orders must not be based on rows read earlier.
             self.rows = None
 
-    # Time
+    # Periodic work
 
     def tick(self, now_s: float) -> None:
-        """Do what is due."""
+        """Send probes, time out the pending call, and start the next table call if one is due."""
         pending = self._pending
         if pending is not None and now_s - pending.sent_s > self._timing.table_timeout_s:
             self._call_failed(now_s)
@@ -196,7 +201,7 @@
 
     def _call_failed(self, now_s: float) -> None:
         self._outbox.count("controller.table_failed")
-        # A commit may have landed or may land yet; only a fresh read can tell.
+        # The commit may have been applied or may still be; only a new read can tell.
         self._rows_fresh = False
         self._phase = Phase.IDLE
         self._pending = None
@@ -224,10 +229,10 @@
         self._pending = _PendingCall(call, now_s)
         self._outbox.add(TableRead(TableUse.CONTROLLER, call, prefixes))
 
-    # Answers of the table
+    # Replies of the table
 
     def on_read(self, call: int, reply: ReadReply, now_s: float) -> None:
-        """Take in the domain's rows."""
+        """Handle the reply to a read of the domain's rows."""
         if self._pending is None or call != self._pending.call:
             return
         if reply.rows is None:
@@ -267,7 +272,7 @@
         self._outbox.add(TableCommit(TableUse.CONTROLLER, call, writes.transaction(change)))
 
     def on_commit(self, call: int, reply: CommitReply, now_s: float) -> None:
-        """Take in what became of a transaction."""
+        """Handle the outcome of a transaction."""
         pending = self._pending
         if pending is None or call != pending.call or pending.writes is None:
             return
@@ -318,17 +323,17 @@
 
     @property
     def can_commit(self) -> bool:
-        """Tell whether the holder may commit now."""
+        """Whether this controller holds the lease, has current rows and no call pending."""
         return self.holding and self._rows_fresh and self._phase is Phase.IDLE
 
     def commit_change(self, change: GroupChange, now_s: float) -> None:
-        """Commit a change to the groups."""
+        """Commit a change to the domain's groups."""
         assert self.rows is not None
         self._outbox.count("controller.change")
         self._log_change(change)
         self._commit(writes_for(change, self.rows, self._spec_source()), now_s)
 
-    # The holder's work
+    # Work of the lease holder
 
     def _act_as_holder(self, now_s: float) -> None:
         rows = self.rows
@@ -344,9 +349,11 @@
             self._commit(RowWrites(rows, lease), now_s)
 
     def _warm_spares(self, rows: DomainRows, now_s: float) -> None:
-        """Have replacements load, within the bound on loads, and one spare while all is calm.
+        """Order replacements, or else one spare, to load weights.
 
-        A replacement that is still cold is told again; it keeps its place until it is warm.
+        Replacements load within the bound on concurrent loads. A spare loads only while no group
+        loads and no replacement is cold. The order to a replacement is repeated until it is warm,
+        and counts against the bound until then.
         """
         if (
             self._bundle is None
@@ -410,7 +417,7 @@
                 self._outbox.send(health.peer, LeaveNotice(node))
 
     def _needs_probe(self, node: NodeId, health: Health, rows: DomainRows, now_s: float) -> bool:
-        """Leave out members whose leader has just vouched for them."""
+        """Return False for ready members whose leader has reported their grants recently."""
         group = rows.group_of(node)
         row = rows.groups.get(group) if group else None
         report = health.report
@@ -421,7 +428,7 @@
         return behind or silent or report.leaving or not report.ready
 
     def release_lease(self, now_s: float) -> None:
-        """Give the lease up, as at a planned stop."""
+        """Release the lease for a planned stop, and make no further table calls."""
         if (
             self.holding
             and self._rows_fresh
@@ -436,7 +443,7 @@
 def _is_behind(report: Report, row: GroupRow) -> bool:
     formation = report.reformed.formation if report.reformed else 0
     if report.node != row.leader.node:
-        # Only leaders make formations; the others hear of them from their leader.
+        # Only leaders make formations; other members receive them from their leader.
         formation = row.formation
     return (report.epoch, formation, report.step) < row.age
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/domainrows.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/domainrows.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A domain's rows as a controller last read or wrote them."""
+"""The table rows of one domain, as a controller last read or wrote them."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class DomainRows:
-    """Hold the lease, groups and instances of a domain with their revisions."""
+    """The lease, group and instance rows of a domain, with their revisions."""
 
     domain: DomainId
     lease: LeaseRow | None = None
@@ -22,7 +22,7 @@
 
     @classmethod
     def from_rows(cls, domain: DomainId, rows: Mapping[str, Row]) -> "DomainRows":
-        """Decode what a read of the domain's prefixes gave."""
+        """Decode the rows returned for the domain's prefixes."""
         result = cls(domain)
         lease = rows.get(lease_key(domain))
         result.lease = decode(LeaseRow, lease.content) if lease else None
@@ -37,11 +37,11 @@
         return result
 
     def condition(self, key: str) -> Condition:
-        """Return the condition that a row has not changed since it was read."""
+        """Return the condition that a row is unchanged since it was read."""
         return Condition(key, self.revisions.get(key, ABSENT))
 
     def group_of(self, node: str) -> GroupId | None:
-        """Return the group that the instance belongs to."""
+        """Return the group that the instance belongs to, or None."""
         row = self.instances.get(NodeId(node))
         return row.group if row else None
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/groupchange.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/groupchange.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One change to a domain's groups, to be committed as one transaction."""
+"""Changes to a domain's groups, each committed as one transaction."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FormGroup:
-    """Form a group, or form it anew with other members or another artifact."""
+    """Form a group, or replace its members or artifact.
+
+    The groups in ``dissolve`` give up their instances in the same transaction.
+    """
 
     group: GroupId
     members: tuple[Peer, ...]
@@ -21,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainGroup:
-    """Let a group finish what it has and take nothing new."""
+    """Let a group finish its requests without admitting new ones."""
 
     group: GroupId
     why: str
@@ -29,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefreshGroup:
-    """Let a group take work again, under the limits in force."""
+    """Let a group admit requests again, under the slots and priority in force."""
 
     group: GroupId
     why: str
@@ -37,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DissolveGroup:
-    """Free a group's instances."""
+    """Remove a group and free its instances."""
 
     group: GroupId
     why: str
@@ -45,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordFormation:
-    """Write down a formation that a group's leader made without the table."""
+    """Write to the table a formation that a group's leader made on its own."""
 
     group: GroupId
     row: GroupRow
@@ -54,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseStandbys:
-    """Free a group's standbys while the group goes on."""
+    """Free a group's standbys while the group keeps serving."""
 
     group: GroupId
     why: str
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/halldrainplan.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/halldrainplan.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Moving groups out of drained halls: replacements first, then the drain."""
+"""Planning of moves out of drained halls: warm replacements first, then drain the group."""
 
 from ochreway_core.bundle import Group
 from ochreway_core.peer import Peer
@@ -18,7 +18,7 @@
 
 
 def next_hall_drain_change(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
-    """Return the next change that takes a group out of a drained hall."""
+    """Return the next change that moves a group out of a drained hall."""
     for row, spec in _affected_groups(situation):
         change = (
             _reform_elsewhere(situation, row, spec)
@@ -31,7 +31,10 @@
 
 
 def replacements_to_warm(situation: Situation) -> list[tuple[Peer, str]]:
-    """Return instances elsewhere that are to load weights before a group there is drained."""
+    """Return the replacements in other halls that still have to load weights, with the artifact.
+
+    A group in a drained hall keeps serving until its replacements are warm.
+    """
     chosen_before: set[Peer] = set()
     to_warm = []
     for row, spec in _affected_groups(situation):
@@ -44,7 +47,7 @@
 
 
 def _affected_groups(situation: Situation) -> list[tuple[GroupRow, Group]]:
-    """Return the wanted, unbroken groups with a member in a drained hall."""
+    """Return the groups of the bundle that have a member in a drained hall and lost none."""
     if not situation.drained_halls:
         return []
     specs = situation.specs()
@@ -67,12 +70,12 @@
 
 
 def _can_serve_at_once(situation: Situation, peer: Peer, spec: Group) -> bool:
-    """Tell whether an instance could serve without loading weights."""
+    """Return whether an instance could serve without loading weights."""
     return not spec.model or situation.is_warm(peer.node, spec)
 
 
 def _reserved_spares(situation: Situation) -> set[Peer]:
-    """Return the spares that groups which are being drained are to be formed with."""
+    """Return the spares that draining groups will be re-formed with."""
     reserved: set[Peer] = set()
     for row, spec in _affected_groups(situation):
         if row.draining:
@@ -82,7 +85,7 @@
 
 
 def _drain_when_ready(situation: Situation, row: GroupRow, spec: Group) -> GroupChange | None:
-    """Drain a group once its replacements are ready, or when its time is over."""
+    """Drain a group once its replacements are ready, or once its hall is closed."""
     if any(situation.in_closed_hall(peer.node) for peer in row.members):
         return DrainGroup(row.group, HALL_DRAIN_REASON)
     missing = len(row.members) - len(_remaining_members(situation, row))
@@ -100,9 +103,9 @@
 
 
 def _reform_elsewhere(situation: Situation, row: GroupRow, spec: Group) -> GroupChange | None:
-    """Form a drained group with instances elsewhere, or give it up for want of them.
+    """Re-form a drained group in other halls, or dissolve it if there are too few instances.
 
-    While it may serve on, one whose replacements are gone again is opened instead.
+    Until its hall is closed, a group whose replacements were lost is reopened instead.
     """
     if not situation.has_drained(row):
         return None
@@ -110,7 +113,7 @@
     size = spec.instances_per_replica
     if len(candidates) < size:
         if not any(situation.in_closed_hall(peer.node) for peer in row.members):
-            return RefreshGroup(row.group, "its replacements are gone")
+            return RefreshGroup(row.group, "its replacements were lost")
         return DissolveGroup(row.group, HALL_DRAIN_REASON + " and there is no spare")
     standbys = tuple(candidates[size : size + spec.standbys])
     return FormGroup(row.group, tuple(candidates[:size]), HALL_DRAIN_REASON, (), standbys)
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/health.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/health.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What a controller knows of an instance beside the table's rows."""
+"""What a controller knows of an instance besides the table's rows."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,10 @@
 
 @dataclass(slots=True)
 class Health:
-    """Hold an instance's last report and what the platform's list says of it."""
+    """An instance's last report and its entry in the platform's list.
+
+    ``last_seen_s`` is when the instance last reported, or its leader last reported its grant.
+    """
 
     peer: Peer | None = None
     listed: bool = False
@@ -20,7 +23,7 @@
     report: Report | None = None
 
     def silent_for_s(self, now_s: float) -> float:
-        """Return for how long nothing was heard."""
+        """Return how long ago the instance was last seen."""
         return now_s - self.last_seen_s
 
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/planner.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/planner.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The next change that brings a domain's groups closer to the bundle."""
+"""Planning of the next change that brings a domain's groups closer to the bundle."""
 
 from ochreway_core.bundle import Group
 from ochreway_core.ids import GroupId
@@ -19,11 +19,11 @@
 from ochreway_nodes.controller.situation import MAX_DRAIN_S, Situation
 
 MAX_CONCURRENT_LOADS = 4
-"""How many groups or replacements load weights together, as the weight store is rate-limited."""
+"""Bound on groups and replacements that load weights at once: the weight store is rate-limited."""
 
 
 def next_change(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
-    """Return the most pressing change, or nothing when all is as the bundle wants it."""
+    """Return the most urgent change, or None if the groups match the bundle."""
     steps = (
         *(
             _record_formations,
@@ -48,7 +48,7 @@
         reformed = health.report.reformed if health and health.report else None
         if reformed is None or (reformed.group, reformed.epoch) != (row.group, row.epoch):
             continue
-        # A standby that was released in the meantime may be in another group.
+        # A standby that was released in the meantime may belong to another group by now.
         kept = all(situation.rows.group_of(peer.node) == row.group for peer in reformed.everyone)
         if kept and reformed.formation > row.formation:
             return RecordFormation(row.group, reformed)
@@ -78,7 +78,7 @@
 
 
 def _update_addresses(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
-    """Form a group anew when a member was replaced under its name at another address."""
+    """Re-form a group when a member came back under the same name at another address."""
     specs = situation.specs()
     for row in situation.rows.groups.values():
         members = tuple(situation.current_peer(peer) for peer in row.members)
@@ -137,7 +137,10 @@
 
 
 def _joinable_group(situation: Situation, row: GroupRow, spec: Group) -> GroupRow | None:
-    """Return another broken group of the section, whose healthy members could join."""
+    """Return another broken group of the section, of equal or lower priority, to take members from.
+
+    Of several, the one with the most usable members is returned.
+    """
     eligible = [
         other
         for other in situation.rows.groups.values()
@@ -150,7 +153,7 @@
 
 
 def _victim(situation: Situation, row: GroupRow, spec: Group) -> GroupRow | None:
-    """Return the least important group whose members this section may use."""
+    """Return the group of lowest priority whose members this section may use."""
     eligible = [
         other
         for other in situation.rows.groups.values()
@@ -204,7 +207,7 @@
 def _form_missing(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
     specs = situation.specs()
     if situation.loading_count() >= MAX_CONCURRENT_LOADS:
-        # The weight store is rate-limited: what matters most is loaded first.
+        # The weight store is rate-limited, so groups of higher priority load first.
         return None
     unformed = [item for item in specs.items() if item[0] not in situation.rows.groups]
     for replica, spec in sorted(unformed, key=lambda item: (item[1].priority, item[0])):
@@ -217,7 +220,10 @@
 
 
 def _release_standbys(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
-    """Release standbys that are not wanted, or without which a group cannot form."""
+    """Release a group's standbys when they are too many, needed elsewhere or in a drained hall.
+
+    They are needed elsewhere while a replica of the section has no group.
+    """
     specs = situation.specs()
     for row in situation.rows.groups.values():
         spec = specs.get(row.group)
@@ -226,13 +232,13 @@
         missing = any(replica_id not in situation.rows.groups for replica_id in spec.replica_ids())
         missing = missing or any(situation.in_drained_hall(peer.node) for peer in row.standbys)
         if len(row.standbys) > spec.standbys or missing:
-            return ReleaseStandbys(row.group, "not wanted, or wanted more elsewhere")
+            return ReleaseStandbys(row.group, "not configured, or needed elsewhere")
     return None
 
 
 def _roll_outdated(situation: Situation, policy: RepairPolicy) -> GroupChange | None:
     specs = situation.specs()
-    # An unwanted group may still be draining; it is not a matter of versions.
+    # Groups that the bundle no longer names may still be draining; they do not count here.
     rows = [row for row in situation.rows.groups.values() if row.group in specs]
     down = {row.group for row in rows if row.draining or not situation.is_serving(row)}
     for row in rows:
@@ -247,21 +253,21 @@
 
 
 def _refresh_group(situation: Situation, row: GroupRow, spec: Group) -> GroupChange | None:
-    """Reopen a group that drains for nothing, and let new limits take effect."""
+    """Reopen a group that no longer has a reason to drain, and apply changed limits."""
     leaving = any(
         situation.is_leaving(peer.node) or situation.in_drained_hall(peer.node)
         for peer in row.members
     )
     limits = (situation.bundle.slots(spec), spec.priority)
     if (row.draining and not leaving) or limits != (row.slots, row.priority):
-        return RefreshGroup(row.group, "nothing to drain for, or new limits")
+        return RefreshGroup(row.group, "no reason to drain, or new limits")
     return None
 
 
 def _roll_group(
     situation: Situation, row: GroupRow, spec: Group, down: set[GroupId]
 ) -> GroupChange | None:
-    """Roll one group: drain it unless it is down anyway, then form it anew."""
+    """Roll one group to the new version: drain it unless it is down already, then re-form it."""
     already_down = row.group in down and not row.draining and not situation.lost_members(row)
     if already_down or (row.draining and situation.has_drained(row)):
         return _reform(situation, row, spec)
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/repair.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/repair.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What to do about a group that has lost members, by expected cost."""
+"""Policies that choose how to repair a group that has lost members."""
 
 import math
 from abc import ABC, abstractmethod
@@ -12,7 +12,10 @@
 
 
 class Repair(Enum):
-    """Name the ways to repair a group."""
+    """Ways to repair a group.
+
+    JOIN takes members from another broken group, PREEMPT from a group of lower priority.
+    """
 
     WAIT = "wait"
     SPARE = "spare"
@@ -22,7 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """Describe a broken group and what could mend it."""
+    """A broken group and the instances that could repair it.
+
+    ``spares`` counts the free instances; ``joinable`` and ``preemptable`` count them together with
+    the usable members of the group that JOIN or PREEMPT would take from. ``spares_warm`` tells
+    whether the spares that would be used have loaded the weights. ``silent_for_s`` is the longest
+    silence of a lost member, and ``known_dead`` tells whether a lost member is not listed any more.
+    ``priority_ratio`` is the weight of the preempted group's downtime against this group's.
+    """
 
     replacements_needed: int
     healthy: int
@@ -38,7 +48,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RepairTuning:
-    """Hold what is expected of pauses, replacements and loading."""
+    """Expected durations and probabilities that repairs are compared by.
+
+    ``pause_probability`` is the share of silences that are pauses, which last ``pause_mean_s`` on
+    average; the others last until the platform replaces the instance, after ``replace_s``.
+    ``rewire_s`` is the outage when warm spares are used, ``load_s`` when weights are loaded, and
+    ``baseline_wait_s`` the wait of ``WaitThenSpare``.
+    """
 
     pause_probability: float = 0.6
     pause_mean_s: float = 4.0
@@ -54,18 +70,18 @@
 
 
 class RepairPolicy(ABC):
-    """Choose a repair."""
+    """Base class of repair policies."""
 
     def __init__(self, tuning: RepairTuning) -> None:
         self.tuning = tuning
 
     @abstractmethod
     def choose(self, damage: Damage) -> Repair:
-        """Return what to do now."""
+        """Return the repair to make now."""
 
 
 def repair_policy(name: str) -> Callable[[R], R]:
-    """Register a repair policy under a name."""
+    """Register the decorated repair policy under a name."""
 
     def register(policy_class: R) -> R:
         REPAIR_POLICIES[name] = policy_class
@@ -76,10 +92,10 @@
 
 @repair_policy("expected_cost")
 class ExpectedCost(RepairPolicy):
-    """Take the repair of least expected downtime and stranded instances, as weighted."""
+    """Choose the repair with the least weighted cost of downtime and stranded instances."""
 
     def choose(self, damage: Damage) -> Repair:
-        """Return the possible repair of least cost."""
+        """Return the feasible repair of least expected cost."""
         costs = {Repair.WAIT: self._wait_cost(damage)}
         if damage.spares >= damage.replacements_needed:
             repair_s = self.tuning.rewire_s if damage.spares_warm else self.tuning.load_s
@@ -103,9 +119,10 @@
         return own_cost + victim_cost
 
     def expected_return_s(self, damage: Damage) -> float:
-        """Return how long the lost members are expected to stay away from now on.
+        """Return the expected time until the lost members are back or replaced.
 
-        A short absence is probably a pause; the longer it lasts, the surer a death.
+        A short silence is probably a pause; the longer it lasts, the more likely the instance is
+        dead.
         """
         tuning = self.tuning
         if damage.known_dead:
@@ -119,10 +136,10 @@
 
 @repair_policy("wait_then_spare")
 class WaitThenSpare(RepairPolicy):
-    """Wait a fixed while, then take any spare: the plain baseline."""
+    """Wait a fixed time, then use any spare: the baseline to compare other policies with."""
 
     def choose(self, damage: Damage) -> Repair:
-        """Return a spare once the wait is over and there are enough."""
+        """Return SPARE once the wait is over and there are enough spares."""
         waited = damage.silent_for_s >= self.tuning.baseline_wait_s
         enough = damage.spares >= damage.replacements_needed
         return Repair.SPARE if waited and enough else Repair.WAIT
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/rowwrites.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/rowwrites.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The rows that a change to a domain's groups writes."""
+"""Table writes for a change to a domain's groups."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SpecSource:
-    """Hold the bundle that a change follows."""
+    """The bundle that a change is made for, and its version."""
 
     bundle: Bundle
     version: Version
@@ -32,7 +32,10 @@
 
 @dataclass(slots=True)
 class RowWrites:
-    """Collect a transaction over the lease row and any groups and instances."""
+    """The writes of one transaction: the lease row, and group and instance rows.
+
+    A value of None deletes the row.
+    """
 
     before: DomainRows
     lease: LeaseRow
@@ -41,7 +44,7 @@
 
     @property
     def changed_groups(self) -> list[GroupId]:
-        """Return the groups that stand after the change and differ by it."""
+        """The groups that the change writes and does not remove."""
         return [group for group, row in self.groups.items() if row is not None]
 
     def _encoded(self) -> dict[str, bytes | None]:
@@ -54,13 +57,13 @@
         return writes
 
     def transaction(self, change: ChangeId) -> Transaction:
-        """Return the transaction; every row that it writes must stand as it was read."""
+        """Return the transaction, on condition that the rows are unchanged since they were read."""
         writes = self._encoded()
         conditions = tuple(self.before.condition(key) for key in writes)
         return Transaction(change, conditions, writes)
 
     def committed(self, revision: int) -> DomainRows:
-        """Return the domain's rows after the commit."""
+        """Return the domain's rows as they are after the commit."""
         before = self.before
         groups = {**before.groups, **self.groups}
         instances = {**before.instances, **self.instances}
@@ -80,7 +83,7 @@
 
 
 def writes_for(change: GroupChange, rows: DomainRows, source: SpecSource) -> RowWrites:
-    """Return the rows that a change writes, under the domain's next epoch."""
+    """Return the writes of a change, under the domain's next epoch."""
     assert rows.lease is not None
     lease = replace(rows.lease, beat=rows.lease.beat + 1, counter=Epoch(rows.lease.counter + 1))
     writes = RowWrites(rows, lease)
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/situation.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/situation.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""All that the plan of a domain's groups depends on."""
+"""The inputs of planning: bundle, rows and health of a domain."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -13,15 +13,15 @@
 from ochreway_nodes.controller.health import Health
 
 MAX_DRAIN_S = 900.0
-
+"""Bound on how long a group may drain before it counts as drained."""
 
 COMPLETE_GATES = frozenset({Reason.NONE, Reason.BACKOFF})
-"""The gates of a leader that hears all of its members."""
+"""Gate states of a leader that has the grants of all its members."""
 
 
 @dataclass(frozen=True, slots=True)
 class Situation:
-    """Hold all that a plan depends on."""
+    """Snapshot of everything that the next change depends on."""
 
     bundle: Bundle
     rows: DomainRows
@@ -33,7 +33,7 @@
     closed_halls: frozenset[HallId] = frozenset()
 
     def specs(self) -> dict[GroupId, Group]:
-        """Return the group section of each replica that the bundle wants in the domain."""
+        """Return the group section of each replica that the bundle configures in the domain."""
         return {
             replica: group
             for group in self.bundle.group
@@ -42,40 +42,44 @@
         }
 
     def is_lost(self, node: str) -> bool:
-        """Tell whether the instance has not been heard of for long."""
+        """Return whether the instance is unknown or has not been seen for ``lost_after_s``."""
         health = self.health.get(NodeId(node))
         return health is None or health.silent_for_s(self.now_s) > self.lost_after_s
 
     def is_leaving(self, node: str) -> bool:
-        """Tell whether the instance is about to go."""
+        """Return whether the platform's list or the agent says that the instance is leaving."""
         health = self.health.get(NodeId(node))
         if health is None:
             return False
         return health.leaving or (health.report is not None and health.report.leaving)
 
     def is_usable(self, node: str) -> bool:
-        """Tell whether the instance may join a group."""
+        """Return whether the instance may join a group."""
         return (
             not self.is_lost(node) and not self.is_leaving(node) and not self.in_drained_hall(node)
         )
 
     def in_drained_hall(self, node: str) -> bool:
-        """Tell whether the instance stands in a drained hall."""
+        """Return whether the instance is in a drained hall."""
         health = self.health.get(NodeId(node))
         return health is not None and health.hall in self.drained_halls
 
     def in_closed_hall(self, node: str) -> bool:
-        """Tell whether the instance stands in a hall whose groups may not serve on."""
+        """Return whether the instance is in a drained hall whose groups must stop serving."""
         health = self.health.get(NodeId(node))
         return health is not None and health.hall in self.closed_halls
 
     def current_peer(self, peer: Peer) -> Peer:
-        """Return the instance at the address that the platform lists now."""
+        """Return the instance with the address that the platform lists now."""
         health = self.health.get(peer.node)
         return health.peer if health is not None and health.peer is not None else peer
 
     def lost_members(self, row: GroupRow) -> list[Peer]:
-        """Return the members that are lost, unless the leader still hears all of them."""
+        """Return the members that are lost, or none while the group still seems to serve.
+
+        It does while its leader reports all grants or, if the leader is lost, while a member still
+        grants the group's epoch.
+        """
         lost = [peer for peer in row.members if self.is_lost(peer.node)]
         return [] if lost and self._still_serving(row) else lost
 
@@ -93,7 +97,7 @@
         return health.report.granting and health.report.epoch == row.epoch
 
     def has_drained(self, row: GroupRow) -> bool:
-        """Tell whether the draining group has nothing left to finish."""
+        """Return whether the draining group has finished, timed out or lost its leader."""
         health = self.health.get(row.leader.node)
         report = health.report if health else None
         if report is None or report.epoch != row.epoch or report.step != row.step:
@@ -102,7 +106,7 @@
         return report.drained or self.now_s - since_s > MAX_DRAIN_S
 
     def is_serving(self, row: GroupRow) -> bool:
-        """Tell whether the group's leader last said that it takes work."""
+        """Return whether the group's leader last reported that it admits requests."""
         health = self.health.get(row.leader.node)
         report = health.report if health else None
         if report is None or self.is_lost(row.leader.node):
@@ -110,7 +114,7 @@
         return report.epoch == row.epoch and report.gate is Reason.NONE
 
     def free_instances(self, spec: Group) -> list[Peer]:
-        """Return the section's usable instances that are in no group."""
+        """Return the section's usable instances that are in no group, warm ones first."""
         free = []
         for name in spec.instances:
             health = self.health.get(NodeId(name))
@@ -122,22 +126,21 @@
                 and self.is_usable(name)
             ):
                 free.append(health.peer)
-        # Those that have the weights already come first.
         return sorted(free, key=lambda peer: not self.is_warm(peer.node, spec))
 
     def is_warm(self, node: NodeId, spec: Group) -> bool:
-        """Tell whether the instance has loaded what the section serves."""
+        """Return whether the instance has loaded the section's weights."""
         health = self.health.get(node)
         report = health.report if health else None
         return report is not None and report.artifact == self.bundle.artifact(spec)
 
     def loading_count(self) -> int:
-        """Return how many groups are neither serving nor draining."""
+        """Return the number of groups that are neither serving nor draining."""
         rows = self.rows.groups.values()
         return sum(not row.draining and not self.is_serving(row) for row in rows)
 
     def spares_to_warm(self) -> list[tuple[Peer, str]]:
-        """Return the spares that lack the weights of what they may serve, with its artifact."""
+        """Return the cold spares of sections with ``warm_spares``, with the artifact to load."""
         return [
             (peer, self.bundle.artifact(spec))
             for spec in self.bundle.group
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/tally.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/tally.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Running sums of what operators are measured by."""
+"""Running totals of group downtime and stranded instances."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,10 @@
 
 @dataclass(slots=True)
 class Tally:
-    """Add up group downtime and stranded instance-seconds while the lease is held."""
+    """Totals of group downtime and stranded instance-seconds while the lease is held.
+
+    An instance is stranded while it is usable but not a member of a serving group.
+    """
 
     serving: dict[GroupId, bool] = field(default_factory=dict)
     down_s: dict[GroupId, float] = field(default_factory=dict)
@@ -18,7 +21,7 @@
     _last_counted_s: float | None = None
 
     def accumulate(self, situation: Situation) -> None:
-        """Add what has passed since the last count."""
+        """Add the time since the previous call, by the state of the groups now."""
         now_s = situation.now_s
         elapsed_s = now_s - self._last_counted_s if self._last_counted_s is not None else 0.0
         self._last_counted_s = now_s
--- a/tests/nodes/test_halldrain.py
+++ b/tests/nodes/test_halldrain.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A hall drained and given back among real entries, controllers and agents, one failure each."""
+"""Draining and restoring a hall with real entries, controllers and agents, one fault per test."""
 
 from functools import partial
 
@@ -49,7 +49,7 @@
         return sorted(row.group for row in self.rows())
 
     def groups_in_drained_hall(self) -> list[str]:
-        """Return the groups that need an instance in the hall."""
+        """Return the groups with a member in the drained hall."""
         return sorted(
             row.group
             for row in self.rows()
@@ -61,7 +61,7 @@
         return [(entry, node) for entry, node in live if isinstance(node, EntryNode)]
 
     def serving(self) -> set[str]:
-        """Return the groups whose leader takes work now."""
+        """Return the groups whose leader admits requests now."""
         serving_groups = set()
         for process in self.world.agents():
             agent = process.node
@@ -89,7 +89,8 @@
             self.run_until(DRAIN_S + tenth / 10)
             care = [served for served in self.serving() if served.startswith("care")]
             min_serving = min(min_serving, len(care))
-        # One goes down at a time, as in a roll; the plain target has no replacement.
+        # Groups go down one at a time, as in a roll. The service target in the hall has no
+        # replacement.
         self.assertGreaterEqual(min_serving, 1)
         self.assertEqual([], self.groups_in_drained_hall())
         self.assertEqual({"care-0", "care-1", "roster-1"}, self.serving())
--- a/tests/nodes/test_halldrainplan.py
+++ b/tests/nodes/test_halldrainplan.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What a controller does with groups in a drained hall: replaced first, then drained."""
+"""Planning for groups in a drained hall: replacements load first, then the group drains."""
 
 from dataclasses import replace
 
@@ -36,14 +36,14 @@
         return replace(undrained, drained_halls=self.drained, closed_halls=self.closed)
 
     def drain(self, names: str, grace_expired: bool = False) -> None:
-        """Put instances into a hall that is drained."""
+        """Move instances into the drained hall."""
         for name in names:
             self.health[NodeId(name)].hall = DRAINED_HALL
         self.drained = frozenset((DRAINED_HALL,))
         self.closed = self.drained if grace_expired else frozenset()
 
     def warm(self, names: str) -> None:
-        """Let instances have loaded what the groups serve."""
+        """Report the weights of the groups as loaded by these instances."""
         row = next(iter(self.rows.groups.values()))
         report = self.health[row.leader.node].report
         assert report is not None
--- a/tests/nodes/test_warming.py
+++ b/tests/nodes/test_warming.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How many instances a controller has load weights at once."""
+"""The bound on instances that a controller lets load weights at once."""
 
 import random
 from dataclasses import replace
@@ -25,7 +25,7 @@
 
 
 class WarmingTests(PlannerCase):
-    """Two groups of three stand in a hall that is drained; six free instances stand elsewhere."""
+    """Two groups of three are in a drained hall; six free instances are in another hall."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -51,7 +51,7 @@
         return controller
 
     def warm_recipients(self, now_s: float = NOW_S) -> list[Peer]:
-        """Return who is told to load as a second has passed."""
+        """Return the recipients of the next round of warm-up orders."""
         self.controller._last_warm_s = now_s - WARM_INTERVAL_S
         self.controller._warm_spares(self.rows, now_s)
         sends = [effect for effect in self.outbox.take() if isinstance(effect, Send)]
