--- a/packages/ochreway-daemon/src/ochreway_daemon/agentshell.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/agentshell.py
@@ -60,14 +60,14 @@
     # The target's state
 
     def _told(self, notice: TargetNotice, to_request: bool) -> None:
-        if notice is not NO_NOTICE or (to_request and self.node.limited):
+        if notice is not NO_NOTICE or (to_request and self.node.has_limit):
             self.post(lambda now_s: self.node.on_target_notice(notice, now_s, to_request))
 
     def _poll_state(self) -> None:
         if self._polling:
             return
         self._polling = True
-        asked = self.node.may_ask(asyncio.get_running_loop().time())
+        asked = self.node.may_poll(asyncio.get_running_loop().time())
         self.spawn(self._read_state() if asked else self._watch())
 
     async def _watch(self) -> None:
@@ -76,7 +76,7 @@
             ended = await self._target.ended()
         finally:
             self._polling = False
-        self.post(lambda now_s: self.node.on_target_stands(ended, now_s))
+        self.post(lambda now_s: self.node.on_target_process_state(ended, now_s))
 
     async def _read_state(self) -> None:
         loop = asyncio.get_running_loop()
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/limitgate.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/limitgate.py
@@ -8,7 +8,7 @@
 from ochreway_routing.quota import Quota
 from ochreway_routing.slidingwindow import SlidingWindow
 
-ASKED_EACH_S = 10.0
+LIMITED_POLL_INTERVAL_S = 10.0
 """How often a target with a limit is asked for its state: a question may count as a request."""
 
 
@@ -19,9 +19,9 @@
         self._limit_per_s: float | None = None
         self._quota: Quota | None = None
         self._window = SlidingWindow()
-        self._asked_s: float | None = None
+        self._last_poll_s: float | None = None
 
-    def name(self, limit_per_s: float | None) -> bool:
+    def set_limit(self, limit_per_s: float | None) -> bool:
         """Take the limit that the target names, or that it names none; return whether it is new."""
         if limit_per_s == self._limit_per_s:
             return False
@@ -42,18 +42,18 @@
             return 0.0
         return self._window.free_in_s(self._quota.requests, self._quota.span_s, now_s)
 
-    def handed(self, now_s: float) -> None:
+    def record_request(self, now_s: float) -> None:
         """Count a request that the target is handed now."""
         if self._quota is not None:
             self._window.add(now_s)
 
-    def may_ask(self, now_s: float) -> bool:
+    def may_poll(self, now_s: float) -> bool:
         """Tell whether the target may be asked for its state now, which it then is."""
         if self._quota is None:
             return True
-        if self._asked_s is not None and now_s - self._asked_s < ASKED_EACH_S:
+        if self._last_poll_s is not None and now_s - self._last_poll_s < LIMITED_POLL_INTERVAL_S:
             return False
-        self._asked_s = now_s
+        self._last_poll_s = now_s
         return True
 
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/loadreports.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/loadreports.py
@@ -11,16 +11,16 @@
 from ochreway_nodes.agent.serving import Serving
 from ochreway_nodes.outbox import Outbox
 
-FOLLOW_FOR_S = 16.0
-CACHE_EVENTS_AT_MOST = 64
+FOLLOWER_TIMEOUT_S = 16.0
+MAX_CACHE_EVENTS = 64
 
 
 @dataclass(slots=True)
 class _Follower:
     peer: Peer
-    until_s: float
-    reported_s: float = -1.0e9
-    received: int = 0
+    expires_s: float
+    last_report_s: float = -1.0e9
+    last_seen_sequence: int = 0
 
 
 class LoadReports:
@@ -45,40 +45,40 @@
         if follower is None:
             follower = self._followers[sender.node] = _Follower(sender, now_s)
         follower.peer = sender
-        follower.until_s = now_s + FOLLOW_FOR_S
+        follower.expires_s = now_s + FOLLOWER_TIMEOUT_S
 
     def on_cache_events(self, cached: list[int], evicted: list[int]) -> None:
         """Keep the engine's cache events for the next report."""
-        self._cached = (self._cached + cached)[-CACHE_EVENTS_AT_MOST:]
-        self._evicted = (self._evicted + evicted)[-CACHE_EVENTS_AT_MOST:]
+        self._cached = (self._cached + cached)[-MAX_CACHE_EVENTS:]
+        self._evicted = (self._evicted + evicted)[-MAX_CACHE_EVENTS:]
 
     def tick(self, now_s: float) -> None:
         """Report when due."""
         if not self._membership.leads:
             return
-        gate = self._membership.turns_away(now_s)
+        gate = self._membership.refusal_reason(now_s)
         changed = gate is not self._reported_gate
         self._reported_gate = gate
-        told = False
+        any_sent = False
         for node, follower in list(self._followers.items()):
-            if follower.until_s < now_s:
+            if follower.expires_s < now_s:
                 del self._followers[node]
-            elif changed or self._due(follower, now_s):
-                told = True
-                self._tell(follower, now_s)
-        if told:
+            elif changed or self._is_due(follower, now_s):
+                any_sent = True
+                self._send_report(follower, now_s)
+        if any_sent:
             self._cached, self._evicted = [], []
 
-    def _due(self, follower: _Follower, now_s: float) -> bool:
+    def _is_due(self, follower: _Follower, now_s: float) -> bool:
         timing = self._membership.timing
         received = self._serving.last_received(follower.peer.node)
-        busy = received != follower.received
+        busy = received != follower.last_seen_sequence
         period_s = timing.load_report_s if busy else timing.idle_report_s
-        return now_s - follower.reported_s >= period_s
+        return now_s - follower.last_report_s >= period_s
 
-    def _tell(self, follower: _Follower, now_s: float) -> None:
-        follower.reported_s = now_s
-        follower.received = self._serving.last_received(follower.peer.node)
+    def _send_report(self, follower: _Follower, now_s: float) -> None:
+        follower.last_report_s = now_s
+        follower.last_seen_sequence = self._serving.last_received(follower.peer.node)
         self._outbox.send(follower.peer, self._report(follower.peer.node, now_s))
 
     def _report(self, follower: NodeId, now_s: float) -> LoadReport:
@@ -88,7 +88,7 @@
             group=row.group,
             epoch=row.epoch,
             incarnation=self._membership.incarnation,
-            gate=self._membership.turns_away(now_s),
+            gate=self._membership.refusal_reason(now_s),
             in_flight=self._serving.running,
             queued=len(self._serving.queue),
             backlog_s=self._serving.backlog_s,
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/node.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/node.py
@@ -46,7 +46,7 @@
 from ochreway_nodes.targetstate import TargetState
 from ochreway_nodes.viewspread import ViewSpread
 
-LINGER_S = 1.0
+STOP_LINGER_S = 1.0
 """How long a stopping agent still refuses what entries sent before they knew."""
 
 Handler = Callable[[Peer, Any, float], None]
@@ -67,11 +67,11 @@
         self.me = me
         self.incarnation = incarnation
         self._started_wall_s = wall_s
-        self._left_s = now_s
+        self._leaving_changed_s = now_s
         self._stopping = False
-        self._noticed_until_s = now_s
+        self._leave_notice_until_s = now_s
         self._target_leaving = False
-        self._leaving_told_s = now_s
+        self._target_notice_s = now_s
         self._timing = timing
         self._outbox = Outbox()
         self.spread = ViewSpread(View(operator_keys, timing.key_memory_s), self._outbox)
@@ -130,7 +130,7 @@
     def on_tick(self, now_s: float) -> None:
         """Do what is due."""
         # The list lags, so a notice may be meant for a process before this one: it lapses.
-        if not self._stopping and not self._target_leaving and now_s > self._noticed_until_s:
+        if not self._stopping and not self._target_leaving and now_s > self._leave_notice_until_s:
             self._set_leaving(False, now_s)
         self.membership.tick(now_s)
         self.serving.tick(now_s)
@@ -139,8 +139,8 @@
 
     def on_target_state(self, state: TargetState) -> None:
         """Take in what the target says it has loaded."""
-        self.membership.target_seen(state)
-        if self._target_leaving and not state.leaving and state.seen_s > self._leaving_told_s:
+        self.membership.set_target_state(state)
+        if self._target_leaving and not state.leaving and state.seen_s > self._target_notice_s:
             # Another process answers: one that leaves says so in each of its answers.
             self._target_leaving = False
 
@@ -152,7 +152,7 @@
         An answer to a request that names no limit says that there is none.
         """
         if to_request or notice.limit_per_s is not None:
-            self.membership.name_limit(notice.limit_per_s)
+            self.membership.set_target_limit(notice.limit_per_s)
         if notice.limit_per_s is not None:
             self._outbox.count("notice.limit")
         if notice.backoff_s:
@@ -162,21 +162,21 @@
         if notice.leaving:
             self._outbox.count("notice.leaving")
             self._target_leaving = True
-            self._leaving_told_s = now_s
+            self._target_notice_s = now_s
             self._set_leaving(True, now_s)
 
-    def may_ask(self, now_s: float) -> bool:
+    def may_poll(self, now_s: float) -> bool:
         """Tell whether the target may be asked for its state now."""
-        return not self.membership.backoff_s(now_s) and self.membership.limit.may_ask(now_s)
+        return not self.membership.backoff_s(now_s) and self.membership.limit.may_poll(now_s)
 
     @property
-    def limited(self) -> bool:
+    def has_limit(self) -> bool:
         """Tell whether the target has a limit."""
         return self.membership.limit.limit_per_s is not None
 
-    def on_target_stands(self, ended: bool, now_s: float) -> None:
+    def on_target_process_state(self, ended: bool, now_s: float) -> None:
         """Take whether the process of a target that may not be asked has ended."""
-        self.membership.target_stands(ended, now_s)
+        self.membership.set_target_process_state(ended, now_s)
 
     def on_turned_away(self, attempt: AttemptId, now_s: float) -> None:
         """End an attempt that the target says it did not begin."""
@@ -200,7 +200,7 @@
         so that no more requests are handed to it in vain.
         """
         if ended or not started:
-            self.membership.target_gone()
+            self.membership.reset_target()
         self.serving.on_target_failed(attempt, started, now_s, ended)
 
     def may_hand_over(self, order: HandOver, now_s: float) -> bool:
@@ -209,7 +209,7 @@
 
     def may_order(self, order: OrderTarget, now_s: float) -> bool:
         """Tell, at the moment of the order, whether it still stands."""
-        return now_s < order.valid_until_s and self.membership.order_stands(order.order, now_s)
+        return now_s < order.valid_until_s and self.membership.is_order_valid(order.order, now_s)
 
     def leave(self, now_s: float) -> None:
         """Begin a planned stop: take no new work, finish what runs."""
@@ -220,19 +220,19 @@
         if self.membership.leaving is leaving:
             return
         self.membership.leaving = leaving
-        self._left_s = now_s
-        self.membership.beat_soon()
+        self._leaving_changed_s = now_s
+        self.membership.send_heartbeat_soon()
         self._outbox.log("leaving" if leaving else "staying", node=self.me.node)
         self.serving.tick(now_s)
         self.loads.tick(now_s)
 
     def may_stop(self, now_s: float) -> bool:
         """Tell whether a planned stop would cut nothing."""
-        if now_s - self._left_s < LINGER_S:
+        if now_s - self._leaving_changed_s < STOP_LINGER_S:
             return False
         if self.membership.leads:
-            return self.serving.drained and self.membership.leader_may_go(now_s)
-        return self.membership.may_go(now_s)
+            return self.serving.drained and self.membership.leader_may_stop(now_s)
+        return self.membership.member_may_stop(now_s)
 
     def _on_epoch_changed(self, now_s: float) -> None:
         self.serving.on_epoch_changed(now_s)
@@ -242,7 +242,7 @@
 
     def _on_leave_notice(self, sender: Peer, notice: LeaveNotice, now_s: float) -> None:
         if notice.node == self.me.node:
-            self._noticed_until_s = now_s + self._timing.leave_notice_s
+            self._leave_notice_until_s = now_s + self._timing.leave_notice_s
             self._set_leaving(True, now_s)
 
     def _on_view_update(self, sender: Peer, update: ViewUpdate, now_s: float) -> None:
@@ -259,7 +259,7 @@
         first_wall_s = snapshot.roll.first_accepted_wall_s
         if first_wall_s > self._started_wall_s + CLOCK_SKEW_S:
             self.keys.stood_before_first_version()
-        self.membership.beat_soon()
+        self.membership.send_heartbeat_soon()
         bundle = self.spread.view.bundle
         if bundle is not None:
             self.serving.queue.set_shares(
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/serving.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/serving.py
@@ -20,16 +20,16 @@
 from ochreway_routing.servicemeter import ServiceMeter
 from ochreway_routing.work import Work
 
-FORGET_AFTER_S = 60.0
-OVERTIME_S = 1.0
-QUEUE_PER_SLOT = 2
-CLOSED_RETRY_S = 2.0
-WINDOW_BYTES = 64 * 1024
-PREFILL_AHEAD_S = 0.25
+LEDGER_RETENTION_S = 60.0
+DEADLINE_GRACE_S = 1.0
+MAX_QUEUED_PER_SLOT = 2
+CLOSED_RETRY_AFTER_S = 2.0
+ANSWER_WINDOW_BYTES = 64 * 1024
+MAX_PREFILL_AHEAD_S = 0.25
 """How much prefill is handed over ahead; the rest waits where it can be put in order."""
-ANSWER_TURN_S = 2.0
+EXPECTED_ANSWER_S = 2.0
 
-Check = tuple[Outcome, Reason]
+Rejection = tuple[Outcome, Reason]
 
 
 class Serving:
@@ -37,9 +37,9 @@
 
     def __init__(self, membership: Membership, version: Callable[[], int], outbox: Outbox) -> None:
         self.ledger = AttemptLedger()
-        self.queue: FairQueue[AttemptRecord] = FairQueue(at_most=QUEUE_PER_SLOT, slots=1)
-        self._handed: dict[AttemptId, AttemptRecord] = {}
-        self._received: dict[NodeId, int] = {}
+        self.queue: FairQueue[AttemptRecord] = FairQueue(at_most=MAX_QUEUED_PER_SLOT, slots=1)
+        self._handed_over: dict[AttemptId, AttemptRecord] = {}
+        self._last_sequences: dict[NodeId, int] = {}
         self.meter: ServiceMeter[AttemptId] = ServiceMeter()
         self._membership = membership
         self._version = version
@@ -48,35 +48,35 @@
     @property
     def running(self) -> int:
         """Return how many attempts the target has."""
-        return len(self._handed)
+        return len(self._handed_over)
 
     # Arrival
 
     def on_submit(self, sender: Peer, submit: Submit, now_s: float) -> None:
         """Queue an attempt, or refuse it."""
-        received = self._received.get(sender.node, 0)
-        self._received[sender.node] = max(received, submit.attempt.sequence)
+        received = self._last_sequences.get(sender.node, 0)
+        self._last_sequences[sender.node] = max(received, submit.attempt.sequence)
         known = self.ledger.get(submit.attempt)
         if known is not None:
-            self._answer_again(sender, submit.attempt, known)
+            self._resend_outcome(sender, submit.attempt, known)
             return
         deadline_s = now_s + submit.expires_in_s
-        forget_s = deadline_s + FORGET_AFTER_S
+        forget_s = deadline_s + LEDGER_RETENTION_S
         record = AttemptRecord(AttemptState.QUEUED, forget_s, submit, sender, deadline_s)
         self.ledger.add(submit.attempt, record)
-        fault = self._unfit(submit, now_s)
-        if fault is not None:
-            self._end(record, *fault, self._closed_s(fault[1], now_s))
+        rejection = self._check_submit(submit, now_s)
+        if rejection is not None:
+            self._end_attempt(record, *rejection, self._closed_retry_after_s(rejection[1], now_s))
             return
         self._queue(record, now_s)
         self.dispatch(now_s)
 
-    def _answer_again(self, sender: Peer, attempt: AttemptId, record: AttemptRecord) -> None:
+    def _resend_outcome(self, sender: Peer, attempt: AttemptId, record: AttemptRecord) -> None:
         record.entry = sender
         if record.state is AttemptState.DONE and record.outcome is not Outcome.ANSWERED:
             self._outbox.send(sender, Settled(attempt, record.outcome, record.reason))
 
-    def _unfit(self, submit: Submit, now_s: float) -> Check | None:
+    def _check_submit(self, submit: Submit, now_s: float) -> Rejection | None:
         membership = self._membership
         if submit.incarnation != membership.incarnation:
             # An earlier delivery may have run before this process started.
@@ -86,7 +86,7 @@
         row = membership.row
         if row is None or (row.group, row.epoch) != (submit.group, submit.epoch):
             return Outcome.NOT_RUN, Reason.STALE_EPOCH
-        closed = membership.turns_away(now_s)
+        closed = membership.refusal_reason(now_s)
         if closed is not Reason.NONE:
             return Outcome.NOT_RUN, closed
         return None
@@ -97,7 +97,7 @@
         row = self._membership.row
         assert row is not None
         self.queue.slots = row.slots
-        self.queue.at_most = row.slots * QUEUE_PER_SLOT
+        self.queue.at_most = row.slots * MAX_QUEUED_PER_SLOT
         prefill_tokens = self.meter.prefill_tokens(submit.blocks, submit.prompt_tokens, now_s)
         work = Work(
             item=record,
@@ -109,25 +109,27 @@
             needed_s=self.meter.needed_s(prefill_tokens, submit.max_tokens),
             queued_s=now_s,
         )
-        late_s = self._late_s(work, now_s)
-        if late_s > 0:
-            retry_after_s = honest_retry_after_s(late_s)
-            self._end(record, Outcome.NOT_RUN, Reason.DEADLINE_TOO_SHORT, retry_after_s)
+        lateness_s = self._lateness_s(work, now_s)
+        if lateness_s > 0:
+            retry_after_s = honest_retry_after_s(lateness_s)
+            self._end_attempt(record, Outcome.NOT_RUN, Reason.DEADLINE_TOO_SHORT, retry_after_s)
             return
         offered = self.queue.offer(work)
         if offered.is_err():
-            self._end(record, Outcome.NOT_RUN, offered.unwrap_err(), self.retry_after_s())
+            self._end_attempt(record, Outcome.NOT_RUN, offered.unwrap_err(), self.retry_after_s())
             return
         displaced = offered.unwrap()
         if displaced is not None:
-            self._end(displaced.item, Outcome.NOT_RUN, Reason.OVER_SHARE, self.retry_after_s())
+            self._end_attempt(
+                displaced.item, Outcome.NOT_RUN, Reason.OVER_SHARE, self.retry_after_s()
+            )
 
-    def _closed_s(self, reason: Reason, now_s: float) -> float:
+    def _closed_retry_after_s(self, reason: Reason, now_s: float) -> float:
         """Return when to come back to a group that is closed, exactly where it is known."""
-        asked = reason in (Reason.BACKOFF, Reason.TARGET_LIMIT)
-        return self._membership.reopens_in_s(now_s) if asked else CLOSED_RETRY_S
+        reopening_known = reason in (Reason.BACKOFF, Reason.TARGET_LIMIT)
+        return self._membership.reopens_in_s(now_s) if reopening_known else CLOSED_RETRY_AFTER_S
 
-    def _late_s(self, work: Work[AttemptRecord], now_s: float) -> float:
+    def _lateness_s(self, work: Work[AttemptRecord], now_s: float) -> float:
         """Return by how much the work is expected to miss its deadline."""
         wait_s = self.meter.wait_s(*self.queue.ahead_of(work), self.queue.slots)
         return now_s + wait_s + work.needed_s - work.deadline_s
@@ -145,12 +147,12 @@
 
     def last_received(self, entry: NodeId) -> int:
         """Return the sequence number of the entry's last attempt."""
-        return self._received.get(entry, 0)
+        return self._last_sequences.get(entry, 0)
 
     def retry_after_s(self) -> float:
         """Return when the queue is expected to have room."""
-        turns = (len(self.queue) + 1) / max(self.queue.slots, 1)
-        return honest_retry_after_s(turns * ANSWER_TURN_S)
+        answers_ahead = (len(self.queue) + 1) / max(self.queue.slots, 1)
+        return honest_retry_after_s(answers_ahead * EXPECTED_ANSWER_S)
 
     # Hand-over
 
@@ -158,24 +160,26 @@
         """Hand queued work to the target while slots are free and the gate is open."""
         if not len(self.queue):
             return
-        closed = self._membership.turns_away(now_s)
+        closed = self._membership.refusal_reason(now_s)
         if closed is not Reason.NONE:
             for work in self.queue.take_all():
-                self._end(work.item, Outcome.NOT_RUN, closed, self._closed_s(closed, now_s))
+                self._end_attempt(
+                    work.item, Outcome.NOT_RUN, closed, self._closed_retry_after_s(closed, now_s)
+                )
             return
         for work in self.queue.take_hopeless(now_s, self.meter.backlog_s):
             retry_after_s = self.retry_after_s()
-            self._end(work.item, Outcome.NOT_RUN, Reason.DEADLINE_TOO_SHORT, retry_after_s)
-        while self._may_hand_more(now_s):
-            following = self.queue.next()
-            if following is None:
+            self._end_attempt(work.item, Outcome.NOT_RUN, Reason.DEADLINE_TOO_SHORT, retry_after_s)
+        while self._may_hand_over_more(now_s):
+            next_work = self.queue.next()
+            if next_work is None:
                 return
-            self._hand_over(following, now_s)
+            self._hand_over(next_work, now_s)
 
-    def _may_hand_more(self, now_s: float) -> bool:
+    def _may_hand_over_more(self, now_s: float) -> bool:
         """Tell whether the target has a free slot and may be handed one more request."""
-        free = self.running < self.queue.slots and self.meter.backlog_s < PREFILL_AHEAD_S
-        return free and not self._membership.limit.wait_s(now_s)
+        has_room = self.running < self.queue.slots and self.meter.backlog_s < MAX_PREFILL_AHEAD_S
+        return has_room and not self._membership.limit.wait_s(now_s)
 
     def _hand_over(self, work: Work[AttemptRecord], now_s: float) -> None:
         record = work.item
@@ -185,9 +189,9 @@
         # In doubt it counts as handed over, so this goes before the effect.
         record.state = AttemptState.HANDED
         submit = record.submit
-        self._handed[submit.attempt] = record
+        self._handed_over[submit.attempt] = record
         self.meter.started(submit.attempt, submit.blocks, work.prefill_tokens, now_s)
-        self._membership.limit.handed(now_s)
+        self._membership.limit.record_request(now_s)
         valid_until_s = min(gate.valid_until_s(), work.deadline_s)
         self._outbox.add(HandOver(submit, valid_until_s))
 
@@ -197,16 +201,16 @@
         if record is None or record.state is not AttemptState.HANDED:
             return False
         row = self._membership.row
-        same = row is not None and row.epoch == order.submit.epoch
-        open_now = self._membership.closed_because(now_s) is Reason.NONE
-        return same and open_now and now_s < order.valid_until_s
+        same_epoch = row is not None and row.epoch == order.submit.epoch
+        is_open = self._membership.closed_because(now_s) is Reason.NONE
+        return same_epoch and is_open and now_s < order.valid_until_s
 
     def on_hand_over_missed(self, attempt: AttemptId, now_s: float) -> None:
         """End an attempt whose hand-over did not happen."""
         record = self.ledger.get(attempt)
         if record is not None and record.state is AttemptState.HANDED:
-            self._slot_free(record, now_s)
-            self._end(record, Outcome.NOT_RUN, Reason.HAND_OVER_LATE, CLOSED_RETRY_S)
+            self._free_slot(record, now_s)
+            self._end_attempt(record, Outcome.NOT_RUN, Reason.HAND_OVER_LATE, CLOSED_RETRY_AFTER_S)
 
     # Answers
 
@@ -236,7 +240,7 @@
             )
             self._outbox.send(record.entry, frame)
         if chunk.last:
-            self._slot_free(record, now_s)
+            self._free_slot(record, now_s)
             record.state = AttemptState.DONE
             record.outcome = Outcome.ANSWERED
             self.ledger.answered(record, now_s)
@@ -248,10 +252,10 @@
         record = self.ledger.get(attempt)
         if record is None or record.state is not AttemptState.HANDED:
             return
-        self._slot_free(record, now_s)
+        self._free_slot(record, now_s)
         backoff_s = self._membership.backoff_s(now_s)
         reason = Reason.BACKOFF if backoff_s else Reason.QUEUE_FULL
-        self._end(record, Outcome.NOT_RUN, reason, backoff_s or self.retry_after_s())
+        self._end_attempt(record, Outcome.NOT_RUN, reason, backoff_s or self.retry_after_s())
         self.dispatch(now_s)
 
     def on_target_failed(
@@ -268,9 +272,11 @@
         record = self.ledger.get(attempt)
         if record is None or record.state is not AttemptState.HANDED:
             return
-        self._slot_free(record, now_s)
+        self._free_slot(record, now_s)
         outcome = Outcome.UNKNOWN if started else Outcome.NOT_RUN
-        self._end(record, outcome, Reason.TARGET_ENDED if ended else Reason.TARGET_FAILED, 1.0)
+        self._end_attempt(
+            record, outcome, Reason.TARGET_ENDED if ended else Reason.TARGET_FAILED, 1.0
+        )
         self.dispatch(now_s)
 
     def on_credit(self, sender: Peer, credit: Credit, now_s: float) -> None:
@@ -284,7 +290,7 @@
         record = self.ledger.get(attempt)
         if record is None or record.state is not AttemptState.HANDED:
             return True
-        return record.answer.length - record.answer.passed < WINDOW_BYTES
+        return record.answer.length - record.answer.passed < ANSWER_WINDOW_BYTES
 
     # Withdrawal
 
@@ -295,27 +301,27 @@
             self._forbid(sender, message, now_s)
             return
         record.entry = sender
-        _WITHDRAWALS[record.state](self, sender, message, record)
+        _WITHDRAW_HANDLERS[record.state](self, sender, message, record)
 
     def _forbid(self, sender: Peer, message: Withdraw, now_s: float) -> None:
-        record = AttemptRecord(AttemptState.DONE, now_s + FORGET_AFTER_S, entry=sender)
-        mine = message.incarnation == self._membership.incarnation
-        record.outcome = Outcome.NOT_RUN if mine else Outcome.UNKNOWN
-        record.reason = Reason.WITHDRAWN if mine else Reason.AGENT_RESTARTED
+        record = AttemptRecord(AttemptState.DONE, now_s + LEDGER_RETENTION_S, entry=sender)
+        same_incarnation = message.incarnation == self._membership.incarnation
+        record.outcome = Outcome.NOT_RUN if same_incarnation else Outcome.UNKNOWN
+        record.reason = Reason.WITHDRAWN if same_incarnation else Reason.AGENT_RESTARTED
         self.ledger.add(message.attempt, record)
         self._outbox.send(sender, Settled(message.attempt, record.outcome, record.reason))
 
     def _withdraw_queued(self, sender: Peer, message: Withdraw, record: AttemptRecord) -> None:
-        chosen = {id(work) for work in self.queue.waiting() if work.item is record}
-        self.queue.remove_if(chosen)
+        queued_ids = {id(work) for work in self.queue.waiting() if work.item is record}
+        self.queue.remove_if(queued_ids)
         record.state = AttemptState.DONE
         record.reason = Reason.WITHDRAWN
         self._outbox.send(sender, Settled(message.attempt, Outcome.NOT_RUN, Reason.WITHDRAWN))
 
     def _resume(self, sender: Peer, message: Withdraw, record: AttemptRecord) -> None:
         answer = record.answer
-        rest = answer.since(message.received)
-        if rest is None:
+        remaining = answer.since(message.received)
+        if remaining is None:
             settled = Settled(message.attempt, Outcome.UNKNOWN, Reason.ANSWER_SHORT)
             self._outbox.send(sender, settled)
             return
@@ -323,7 +329,7 @@
         frame = Frame(
             message.attempt,
             message.received,
-            rest,
+            remaining,
             0,
             answer.status,
             answer.content_type,
@@ -347,7 +353,7 @@
                 sender, Withdraw(message.attempt, self._membership.incarnation, 0), record
             )
         elif record.state is AttemptState.HANDED:
-            self._cut(message.attempt, record, Reason.CALLER_GONE, now_s)
+            self._abort(message.attempt, record, Reason.CALLER_GONE, now_s)
         self.dispatch(now_s)
 
     # Group changes
@@ -355,14 +361,16 @@
     def on_epoch_changed(self, now_s: float) -> None:
         """End what belongs to the group that this agent has left."""
         for work in self.queue.take_all():
-            self._end(work.item, Outcome.NOT_RUN, Reason.STALE_EPOCH, CLOSED_RETRY_S)
-        for attempt, record in list(self._handed.items()):
-            self._cut(attempt, record, Reason.GROUP_INCOMPLETE, now_s)
+            self._end_attempt(work.item, Outcome.NOT_RUN, Reason.STALE_EPOCH, CLOSED_RETRY_AFTER_S)
+        for attempt, record in list(self._handed_over.items()):
+            self._abort(attempt, record, Reason.GROUP_INCOMPLETE, now_s)
 
-    def _cut(self, attempt: AttemptId, record: AttemptRecord, reason: Reason, now_s: float) -> None:
+    def _abort(
+        self, attempt: AttemptId, record: AttemptRecord, reason: Reason, now_s: float
+    ) -> None:
         self._outbox.add(CancelWork(attempt))
-        self._slot_free(record, now_s)
-        self._end(record, Outcome.UNKNOWN, reason, CLOSED_RETRY_S)
+        self._free_slot(record, now_s)
+        self._end_attempt(record, Outcome.UNKNOWN, reason, CLOSED_RETRY_AFTER_S)
 
     @property
     def drained(self) -> bool:
@@ -371,27 +379,31 @@
 
     def tick(self, now_s: float) -> None:
         """Dispatch what can go, end what has run out of time, forget what is old."""
-        late_s = now_s - OVERTIME_S
-        for attempt, record in list(self._handed.items()):
-            if record.deadline_s < late_s:
+        cutoff_s = now_s - DEADLINE_GRACE_S
+        for attempt, record in list(self._handed_over.items()):
+            if record.deadline_s < cutoff_s:
                 # Its entry would have cancelled it; it is gone.
-                self._cut(attempt, record, Reason.DEADLINE_PASSED, now_s)
+                self._abort(attempt, record, Reason.DEADLINE_PASSED, now_s)
         self.dispatch(now_s)
         self.ledger.forget(now_s)
 
-    def _slot_free(self, record: AttemptRecord, now_s: float) -> None:
+    def _free_slot(self, record: AttemptRecord, now_s: float) -> None:
         submit = record.submit
         assert submit is not None
         self.meter.ended(submit.attempt, record.answer.tokens, submit.max_tokens, now_s)
-        self._handed.pop(submit.attempt, None)
+        self._handed_over.pop(submit.attempt, None)
         self.queue.ended(submit.organisation)
 
-    def _end(
+    def _end_attempt(
         self, record: AttemptRecord, outcome: Outcome, reason: Reason, retry_after_s: float
     ) -> None:
-        handed = record.state is AttemptState.HANDED
-        honest = outcome is not Outcome.NOT_RUN or not handed or reason in _NOT_STARTED
-        if not invariants.never_handed_over(not honest, f"reason={reason.value}"):
+        was_handed_over = record.state is AttemptState.HANDED
+        truthful = (
+            outcome is not Outcome.NOT_RUN
+            or not was_handed_over
+            or reason in _NEVER_STARTED_REASONS
+        )
+        if not invariants.never_handed_over(not truthful, f"reason={reason.value}"):
             outcome = Outcome.UNKNOWN
         record.state = AttemptState.DONE
         record.outcome = outcome
@@ -402,14 +414,14 @@
             self._outbox.send(record.entry, refusal)
 
 
-_NOT_STARTED = frozenset(
+_NEVER_STARTED_REASONS = frozenset(
     {Reason.HAND_OVER_LATE, Reason.TARGET_FAILED, Reason.BACKOFF, Reason.QUEUE_FULL}
 )
 
-_WITHDRAWALS: dict[AttemptState, Callable[[Serving, Peer, Withdraw, AttemptRecord], None]] = {
+_WITHDRAW_HANDLERS: dict[AttemptState, Callable[[Serving, Peer, Withdraw, AttemptRecord], None]] = {
     AttemptState.QUEUED: Serving._withdraw_queued,
     AttemptState.HANDED: Serving._resume,
     AttemptState.DONE: Serving._withdraw_done,
 }
 
-__all__ = ["Serving", "WINDOW_BYTES"]
+__all__ = ["Serving", "ANSWER_WINDOW_BYTES"]
--- a/packages/ochreway-standins/src/ochreway_standins/policybench/fakereplica.py
+++ b/packages/ochreway-standins/src/ochreway_standins/policybench/fakereplica.py
@@ -9,7 +9,7 @@
 from ochreway_core.ids import Epoch, GroupId, Incarnation
 from ochreway_core.messages import LoadReport
 from ochreway_core.reason import Reason
-from ochreway_nodes.agent.serving import PREFILL_AHEAD_S, QUEUE_PER_SLOT
+from ochreway_nodes.agent.serving import MAX_PREFILL_AHEAD_S, MAX_QUEUED_PER_SLOT
 from ochreway_routing.fairqueue import FairQueue
 from ochreway_routing.prefix import BLOCK_TOKENS
 from ochreway_routing.servicemeter import ServiceMeter
@@ -59,7 +59,7 @@
     meter: ServiceMeter[int] = field(default_factory=ServiceMeter)
     received: dict[int, int] = field(default_factory=dict)
     queue: FairQueue[Job] = field(
-        default_factory=lambda: FairQueue(at_most=SLOTS * QUEUE_PER_SLOT, slots=SLOTS)
+        default_factory=lambda: FairQueue(at_most=SLOTS * MAX_QUEUED_PER_SLOT, slots=SLOTS)
     )
 
     def submit(self, job: Job) -> None:
@@ -93,7 +93,7 @@
     def _dispatch(self) -> None:
         for work in self.queue.take_hopeless(self.clock.now_s, self.meter.backlog_s):
             work.item.refused(Reason.DEADLINE_TOO_SHORT)
-        while self.running < SLOTS and self.meter.backlog_s < PREFILL_AHEAD_S:
+        while self.running < SLOTS and self.meter.backlog_s < MAX_PREFILL_AHEAD_S:
             following = self.queue.next()
             if following is None:
                 return
--- a/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
@@ -136,7 +136,7 @@
     def not_run(agent: Serving, sender: Peer, message: Withdraw, record: AttemptRecord) -> None:
         agent._outbox.send(sender, Settled(message.attempt, Outcome.NOT_RUN, Reason.WITHDRAWN))
 
-    return mock.patch.dict(serving._WITHDRAWALS, {AttemptState.HANDED: not_run})
+    return mock.patch.dict(serving._WITHDRAW_HANDLERS, {AttemptState.HANDED: not_run})
 
 
 @guard(
--- a/packages/ochreway-standins/src/ochreway_standins/soak/world.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/world.py
@@ -243,9 +243,9 @@
 
     def _ask_target(self, process: Process, node: AgentNode, target: SimTarget) -> None:
         seen_s = process.local_s(self.clock.now_s)
-        if not node.may_ask(seen_s):
+        if not node.may_poll(seen_s):
             down = target.down
-            self.post(process, lambda now_s: node.on_target_stands(down, now_s))
+            self.post(process, lambda now_s: node.on_target_process_state(down, now_s))
         elif not target.down and self._reach(process, target):
             state = TargetState(
                 target.epoch,  # type: ignore[arg-type]
@@ -263,7 +263,7 @@
         self.on_arrival(process)
         if notice != NO_NOTICE:
             self.on_notice(process, notice)
-        if notice != NO_NOTICE or (to_request and node.limited):
+        if notice != NO_NOTICE or (to_request and node.has_limit):
             self.post(process, lambda now_s: node.on_target_notice(notice, now_s, to_request))
         return notice.backoff_s is None
 
--- a/tests/nodes/leadercase.py
+++ b/tests/nodes/leadercase.py
@@ -43,31 +43,35 @@
     def agent(self, name: str) -> AgentNode:
         return AgentNode(peer(name), Incarnation(1), Timing(), {}, 0.0, 0.0)
 
-    def tell(
+    def deliver(
         self, agent: AgentNode, message: object, now_s: float, sender: str = "x"
     ) -> list[object]:
         agent.on_message(peer(sender), Version(0), message, now_s)
-        return [each.message for each in agent.take() if isinstance(each, Send)]
+        return [effect.message for effect in agent.take() if isinstance(effect, Send)]
 
-    def order(self, agent: AgentNode, given: GroupRow, now_s: float = 10.0) -> None:
-        self.tell(agent, Order(DOMAIN, Epoch(1), given), now_s)  # type: ignore[arg-type]
+    def order(self, agent: AgentNode, group_row: GroupRow, now_s: float = 10.0) -> None:
+        self.deliver(agent, Order(DOMAIN, Epoch(1), group_row), now_s)  # type: ignore[arg-type]
 
-    def beat(self, given: GroupRow, sequence: int = 1, riding: bool = False) -> Heartbeat:
-        rides = given if riding else None
-        return Heartbeat(given.group, given.epoch, given.formation, sequence, False, rides)
+    def heartbeat(
+        self, group_row: GroupRow, sequence: int = 1, with_row: bool = False
+    ) -> Heartbeat:
+        attached = group_row if with_row else None
+        return Heartbeat(
+            group_row.group, group_row.epoch, group_row.formation, sequence, False, attached
+        )
 
     def leader(self, now_s: float = 10.0, standbys: str = "") -> tuple[AgentNode, GroupRow]:
-        agent, given = self.agent("a"), row("abc", standbys=standbys)
-        self.order(agent, given, now_s)
-        self.serve(agent, given, now_s, "bc" + standbys)
-        return agent, given
+        agent, group_row = self.agent("a"), row("abc", standbys=standbys)
+        self.order(agent, group_row, now_s)
+        self.serve(agent, group_row, now_s, "bc" + standbys)
+        return agent, group_row
 
-    def serve(self, agent: AgentNode, given: GroupRow, now_s: float, grants: str) -> None:
-        agent.on_target_state(TargetState(given.fence, "art", True, now_s))
+    def serve(self, agent: AgentNode, group_row: GroupRow, now_s: float, grants: str) -> None:
+        agent.on_target_state(TargetState(group_row.fence, "art", True, now_s))
         agent.on_tick(now_s)
         agent.take()
         assert agent.membership.gate is not None
         sequence = agent.membership.gate.sequence
         for name in grants:
-            grant = Grant(given.group, given.epoch, sequence, True, False)
-            self.tell(agent, grant, now_s, name)
+            grant = Grant(group_row.group, group_row.epoch, sequence, True, False)
+            self.deliver(agent, grant, now_s, name)
--- a/tests/nodes/test_fatalrequest.py
+++ b/tests/nodes/test_fatalrequest.py
@@ -10,37 +10,37 @@
 from ochreway_standins.soak.run import Run
 from ochreway_standins.soak.simtarget import FATAL
 
-SENT_AT_MOST = 3 + 2
+MAX_SENDS = 3 + 2
 """Three crashes, and what others had under way as the third was told."""
 
 
 class FatalRequestTests(testtools.TestCase):
-    def test_it_reaches_few_targets_of_either_kind(self) -> None:
+    def test_a_fatal_request_reaches_few_targets_of_either_kind(self) -> None:
         kinds = set()
         for seed in range(1, 5):
             run = Run(seed, ["fatal_request"], 1)
             self.assertEqual((), run.go().violations)
-            bodies = [each.body for each in run.world.executions if each.body.startswith(FATAL)]
+            bodies = [work.body for work in run.world.executions if work.body.startswith(FATAL)]
             for body in set(bodies):
-                self.assertLessEqual(bodies.count(body), SENT_AT_MOST)
+                self.assertLessEqual(bodies.count(body), MAX_SENDS)
             kinds |= {
-                each.request.kind
-                for each in run.callers.asked.values()
-                if each.request.body.startswith(FATAL)
+                tracked.request.kind
+                for tracked in run.callers.asked.values()
+                if tracked.request.body.startswith(FATAL)
             }
         self.assertEqual(2, len(kinds))
 
-    def test_its_callers_are_told_that_it_did_not_run(self) -> None:
+    def test_callers_of_a_fatal_request_learn_that_it_did_not_run(self) -> None:
         run = Run(1, ["fatal_request"], 1)
         run.go()
         reasons = [
-            each.finish.reason.value
-            for each in run.callers.asked.values()
-            if each.request.body.startswith(FATAL) and each.finish is not None
+            tracked.finish.reason.value
+            for tracked in run.callers.asked.values()
+            if tracked.request.body.startswith(FATAL) and tracked.finish is not None
         ]
         self.assertGreater(reasons.count("ends_targets"), len(reasons) // 2)
 
-    def test_among_other_faults(self) -> None:
+    def test_invariants_hold_among_other_faults(self) -> None:
         for seed in range(20, 26):
             kinds = ["fatal_request", "kill_entry", "pause_entry", "target_crash", "cut"]
             self.assertEqual((), Run(seed, kinds, 4).go().violations)
