--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/__init__.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The agent beside each target."""
+"""The agent that runs beside each target."""
 
 from ochreway_nodes.agent.node import AgentNode
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/limitgate.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/limitgate.py
@@ -1,19 +1,19 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How much the target beside an agent is handed, when it named a limit.
+"""Enforcement of the request rate limit that the target beside an agent has announced.
 
-All that its group is asked for passes through its leader's agent, so what that agent keeps is kept
-by all entries together.
+All requests for a group pass through its leader's agent, so enforcing the limit there bounds what
+all entries send together.
 """
 
 from ochreway_routing.quota import Quota
 from ochreway_routing.slidingwindow import SlidingWindow
 
 LIMITED_POLL_INTERVAL_S = 10.0
-"""How often a target with a limit is asked for its state: a question may count as a request."""
+"""Minimum interval between state polls of a limited target, as polls may count as requests."""
 
 
 class LimitGate:
-    """Count what the target is handed while it has a limit."""
+    """Count the requests handed to the target while it has a limit."""
 
     def __init__(self) -> None:
         self._limit_per_s: float | None = None
@@ -22,7 +22,7 @@
         self._last_poll_s: float | None = None
 
     def set_limit(self, limit_per_s: float | None) -> bool:
-        """Take the limit that the target names, or that it names none; return whether it is new."""
+        """Set the target's limit, None for no limit, and return whether it changed."""
         if limit_per_s == self._limit_per_s:
             return False
         if limit_per_s is None:
@@ -33,22 +33,22 @@
 
     @property
     def limit_per_s(self) -> float | None:
-        """Return the limit that holds, if any."""
+        """The limit in force, if any."""
         return self._limit_per_s
 
     def wait_s(self, now_s: float) -> float:
-        """Return how soon the target may be handed one more request; 0 if it may now."""
+        """Return the time until the target may be handed another request; 0 if it may now."""
         if self._quota is None:
             return 0.0
         return self._window.free_in_s(self._quota.requests, self._quota.span_s, now_s)
 
     def record_request(self, now_s: float) -> None:
-        """Count a request that the target is handed now."""
+        """Count a request that is handed to the target now."""
         if self._quota is not None:
             self._window.add(now_s)
 
     def may_poll(self, now_s: float) -> bool:
-        """Tell whether the target may be asked for its state now, which it then is."""
+        """Return whether the target may be polled for its state now, and record the poll if so."""
         if self._quota is None:
             return True
         if self._last_poll_s is not None and now_s - self._last_poll_s < LIMITED_POLL_INTERVAL_S:
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/loadreports.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/loadreports.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Load reports from a leader to the entries that follow its group."""
+"""Load reports from a group's leader to the entries that follow the group."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,9 @@
 from ochreway_nodes.outbox import Outbox
 
 FOLLOWER_TIMEOUT_S = 16.0
+"""How long an entry stays a follower after its last ``Follow`` message."""
 MAX_CACHE_EVENTS = 64
+"""Bound on the cached and on the evicted blocks in one report; the newest are kept."""
 
 
 @dataclass(slots=True)
@@ -24,10 +26,10 @@
 
 
 class LoadReports:
-    """Tell followers at a steady pace, and at once when the gate opens or closes.
+    """Send load reports periodically, and at once when the gate opens or closes.
 
-    A follower that sent work since its last report hears sooner than an idle one: its report
-    rides in a batch with its answers.
+    A follower that sent attempts since its last report gets reports at shorter intervals than an
+    idle one, as they travel in the same batches as its answers.
     """
 
     def __init__(self, membership: Membership, serving: Serving, outbox: Outbox) -> None:
@@ -40,7 +42,7 @@
         self._evicted: list[int] = []
 
     def on_follow(self, sender: Peer, follow: Follow, now_s: float) -> None:
-        """Count an entry among the followers for a while."""
+        """Add or renew a follower."""
         follower = self._followers.get(sender.node)
         if follower is None:
             follower = self._followers[sender.node] = _Follower(sender, now_s)
@@ -48,12 +50,12 @@
         follower.expires_s = now_s + FOLLOWER_TIMEOUT_S
 
     def on_cache_events(self, cached: list[int], evicted: list[int]) -> None:
-        """Keep the engine's cache events for the next report."""
+        """Record the engine's cache events for the next report."""
         self._cached = (self._cached + cached)[-MAX_CACHE_EVENTS:]
         self._evicted = (self._evicted + evicted)[-MAX_CACHE_EVENTS:]
 
     def tick(self, now_s: float) -> None:
-        """Report when due."""
+        """Send the reports that are due, if this agent leads."""
         if not self._membership.leads:
             return
         gate = self._membership.refusal_reason(now_s)
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/membership.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/membership.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An agent's part in a group: its grant, and its gate when it leads."""
+"""An agent's membership of a group: its grant, and the admission gate if it leads."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -30,25 +30,28 @@
 
 NO_GROUP_ID = GroupId("")
 ORDER_RETRY_DELAY_S = 1.0
+"""Minimum interval between orders to the target."""
 ORDER_TIMEOUT_S = 0.5
+"""How long an order may be delivered after it was issued."""
 TARGET_STATE_MAX_AGE_S = 2.0
+"""Age up to which the target's last state counts as current."""
 NEVER_S = -1.0e9
 SHUTDOWN_NOTICE_INTERVAL_S = 0.1
-"""How often a leader that ends says so until its members have answered."""
+"""Heartbeat interval of a leader that announces its shutdown to its members."""
 SHUTDOWN_NOTICE_TIMEOUT_S = 3.0
-"""How long a leader that ends waits for its members' answers at the most."""
+"""Bound on how long a leader that shuts down waits for its members to acknowledge it."""
 
 
 @dataclass(slots=True)
 class _SentGrant:
-    """Hold the last grant that the leader was sent."""
+    """The last grant sent, and the leader that it was sent to."""
 
     leader: Peer
     grant: Grant
 
 
 class Membership:
-    """Follow the orders of the domain's controller, newest epoch and step first."""
+    """Follow the orders of the domain's controller; rows older than the current one are ignored."""
 
     def __init__(
         self,
@@ -84,17 +87,17 @@
         self._last_grant: _SentGrant | None = None
 
     def on_order(self, sender: Peer, order: Order, now_s: float) -> None:
-        """Take an order from a controller."""
+        """Adopt the row in a controller's order."""
         self.adopt(order.row, now_s)
 
     def on_dismiss(self, sender: Peer, message: Dismiss, now_s: float) -> None:
-        """Leave a group that the table no longer names this instance in."""
+        """Leave the group, as the table does not list this instance in any group."""
         self.grant.learn(message.counter)
         if self.row is not None and self.row.epoch <= message.counter:
             self._leave_group(now_s, Epoch(message.counter + 1))
 
     def adopt(self, row: GroupRow, now_s: float) -> None:
-        """Take a newer row of this instance's group, or of the group it joins."""
+        """Adopt a newer row of this instance's group or of the group it joins."""
         if row.epoch < self.grant.highest or not self._is_newer(row):
             return
         if not row.names(self.me.node):
@@ -103,7 +106,7 @@
         if same_formation and self.gate is not None:
             self.gate.advance(row)
         if not same_formation:
-            # Numbers of heartbeats go on, so that no late grant answers for a newer one.
+            # Heartbeat numbers continue, so that a late grant cannot match a newer heartbeat.
             sequence = self.gate.sequence if self.gate is not None else 0
             self._leave_group(now_s, row.epoch)
             if row.leader.node == self.me.node:
@@ -137,11 +140,11 @@
 
     @property
     def leads(self) -> bool:
-        """Tell whether this agent leads its group."""
+        """Whether this agent leads its group."""
         return self.gate is not None
 
     def on_heartbeat(self, sender: Peer, beat: Heartbeat, now_s: float) -> None:
-        """Grant or refuse a leader."""
+        """Answer a leader's heartbeat with a grant or a refusal."""
         if beat.row is not None:
             self.adopt(beat.row, now_s)
         if not self._matches_row(beat):
@@ -150,7 +153,7 @@
             self._refuse(sender, beat, reason, 0.0)
             return
         self._last_leader_heartbeat_s = now_s
-        # Kept by a member that stays as well: it may be told to stop after its leader has gone.
+        # Recorded by a staying member too: it may be asked to stop after its leader has stopped.
         self.released = beat.released
         if self.leaving and beat.released:
             self.grant.returned(beat.epoch)
@@ -167,9 +170,9 @@
         self._outbox.send(sender, grant)
 
     def _send_readiness_change(self, now_s: float) -> None:
-        """Tell the leader at once when the target became ready, or no longer is.
+        """Send the leader a new grant as soon as the target's readiness changes.
 
-        The same heartbeat is answered again, so that the grant lasts no longer than before.
+        The grant answers the same heartbeat as before, so it does not last longer.
         """
         sent = self._last_grant
         if sent is None or not self.grant.fresh(sent.grant.epoch, now_s):
@@ -201,29 +204,29 @@
         self._outbox.send(sender, refusal)
 
     def on_grant(self, sender: Peer, grant: Grant, now_s: float) -> None:
-        """Count a member's grant."""
+        """Record a member's grant."""
         if self.gate is not None and grant.epoch == self.gate.row.epoch:
             self.gate.answered(sender.node, grant.sequence)
             self.gate.granted(sender.node, grant.sequence, grant.ready, grant.leaving)
 
     def on_grant_refusal(self, sender: Peer, refusal: GrantRefusal, now_s: float) -> None:
-        """Send the row again to a member that does not know it."""
+        """Attach the row to the next heartbeat, as the member may not know it."""
         if self.gate is None or refusal.epoch != self.gate.row.epoch:
             return
         self.gate.answered(sender.node, refusal.sequence)
         self.gate.forgot_row(sender.node)
         self._schedule_heartbeat(refusal.wait_s, now_s)
         if refusal.formation > self.gate.row.formation:
-            # This leader restarted and forgot a formation that its members still know.
+            # This leader restarted and lost a formation that its members still know.
             formation = refusal.formation + 1
             self.adopt(replace(self.gate.row, formation=formation, step=0), now_s)
 
     def on_release(self, sender: Peer, release: Release, now_s: float) -> None:
-        """Take back the grant that a leader returns."""
+        """End the grant that a leader returns."""
         self.grant.returned(release.epoch)
 
     def report(self, now_s: float, drained: bool) -> Report:
-        """Describe this agent to a controller."""
+        """Return this agent's report to a controller."""
         row = self.row
         epoch = row.epoch if row else self.grant.highest
         return Report(
@@ -243,7 +246,7 @@
         )
 
     def closed_because(self, now_s: float) -> Reason:
-        """Return why this agent takes no work, or ``NONE``."""
+        """Return why this agent's gate is closed, or ``NONE`` if it is open."""
         if self.gate is None:
             return Reason.NO_GROUP
         if self.leaving:
@@ -254,9 +257,9 @@
         return closed
 
     def refusal_reason(self, now_s: float) -> Reason:
-        """Return why a new request is not taken: closed, or no more than the limit, or ``NONE``.
+        """Return why a new request is refused, or ``NONE``: a closed gate or the target's limit.
 
-        A group whose target has had its limit's worth is whole; it only takes nothing new.
+        A group whose target has reached its limit is complete; it only admits no new requests.
         """
         closed = self.closed_because(now_s)
         if closed is Reason.NONE and self.limit.wait_s(now_s) > 0.0:
@@ -264,20 +267,20 @@
         return closed
 
     def reopens_in_s(self, now_s: float) -> float:
-        """Return how soon requests are taken again, as far as the target has a say in it."""
+        """Return the time until the target's backoff and limit allow requests again."""
         return max(self.backoff_s(now_s), self.limit.wait_s(now_s))
 
     def set_target_limit(self, limit_per_s: float | None) -> None:
-        """Take the limit that the target names, or that it has none any more."""
+        """Set the target's rate limit; None for no limit."""
         before = self.limit.limit_per_s
         if self.limit.set_limit(limit_per_s):
             self._outbox.log("target_limit", limit_per_s=limit_per_s or "", before=before or "")
 
     def back_off(self, duration_s: float, now_s: float) -> None:
-        """Give the target nothing for a while, as it asked: no request, question or order.
+        """Send the target no request, poll or order for the time that it asked for.
 
-        A leader's gate is closed as long, so that callers go to other groups or are told when
-        to come back, instead of being turned away here one after the other.
+        A leader's gate is closed meanwhile. Callers then use other groups or learn when to retry,
+        instead of being refused here one after the other.
         """
         if not self.backoff_s(now_s):
             self._outbox.log("target_backoff", asked_s=duration_s)
@@ -285,13 +288,13 @@
         self._backoff_until_s = max(self._backoff_until_s, now_s + duration_s)
 
     def backoff_s(self, now_s: float) -> float:
-        """Return for how much longer the target is to get nothing."""
+        """Return the remaining time for which nothing may be sent to the target."""
         return max(0.0, self._backoff_until_s - now_s)
 
     def set_target_process_state(self, ended: bool, now_s: float) -> None:
-        """Take what is known of a target that may not be asked: its process stands, or has ended.
+        """Update the state of a target that must not be polled, by whether its process has ended.
 
-        One that stands is taken to have what it had; one that ended has forgotten it.
+        A process that still runs is assumed to have kept its state; one that ended has lost it.
         """
         if ended:
             self.reset_target()
@@ -299,21 +302,22 @@
             self.target = replace(self.target, seen_s=now_s)
 
     def reset_target(self) -> None:
-        """Take it that the target's process has ended: it has forgotten what it had."""
+        """Reset the target's state, as its process has ended and lost it."""
         self._outbox.count("target.gone")
         self.target = TargetState()
 
     def set_target_state(self, state: TargetState) -> None:
-        """Take in what the target says it has loaded."""
+        """Set the state that the target reported."""
         if self.target.seen_s <= NEVER_S:
-            # What it was ordered while nobody heard of it was in vain.
+            # Orders issued while the target's state was unknown had no effect, so send at once.
             self._last_order_s = NEVER_S
         self.target = state
 
     def leader_may_stop(self, now_s: float) -> bool:
-        """Tell whether all members know that this leader ends, or have been told for long enough.
+        """Return whether all members acknowledged this leader's shutdown, or the wait timed out.
 
-        A member that did not hear of it would wait until its leader has been silent for long.
+        A member that missed the notice could itself stop only once its leader has been silent for
+        ``leader_silent_s``.
         """
         if self.gate is None or self._shutdown_sequence is None:
             return False
@@ -321,14 +325,14 @@
         return waited_long or self.gate.all_heard(self._shutdown_sequence, now_s, self.me.node)
 
     def member_may_stop(self, now_s: float) -> bool:
-        """Tell whether this member's end would cut nothing that its group has in flight."""
+        """Return whether stopping this member would interrupt no request of its group."""
         silent_s = now_s - self._last_leader_heartbeat_s
         if self.row is None or not self.row.serves_on(self.me.node):
             return True
         return self.released or silent_s > self.timing.leader_silent_s
 
     def ready(self, now_s: float) -> bool:
-        """Tell whether the target has loaded what the row says, as of late."""
+        """Return whether the target recently reported to have loaded what the row asks for."""
         row, target = self.row, self.target
         if row is None or now_s - target.seen_s > TARGET_STATE_MAX_AGE_S:
             return False
@@ -339,7 +343,7 @@
         return target.epoch == row.fence or not row.serves_on(self.me.node)
 
     def _desired_order(self) -> TargetOrder | None:
-        """Return what the target is to have loaded, if this agent has a say in it."""
+        """Return the order for what the target should have loaded, if this agent controls that."""
         if self.row is None:
             return self._warm_order
         if self.row.kind is TargetKind.SERVICE:
@@ -349,27 +353,27 @@
         return order_for(self.row)
 
     def is_order_valid(self, order: TargetOrder, now_s: float) -> bool:
-        """Tell, right before the target is ordered, whether the order still stands."""
+        """Return whether an order may still be sent to the target; checked right before sending."""
         epoch = self.row.epoch if self.row is not None else self._warm_epoch
-        # One that has nothing serves no group that a former grant may still stand for.
+        # An empty target serves no group, so an unexpired grant to another leader is no obstacle.
         may_move = self.grant.may_move(epoch, now_s) or self._target_is_empty(now_s)
         return self._desired_order() == order and may_move and not self.backoff_s(now_s)
 
     def _target_is_empty(self, now_s: float) -> bool:
-        """Tell whether the target has said of late that it has taken no order in its life."""
+        """Return whether the target recently reported that it has not taken any order."""
         target = self.target
         seen = now_s - target.seen_s <= TARGET_STATE_MAX_AGE_S
         return seen and target.epoch == NO_EPOCH and not target.artifact
 
     def on_warm(self, sender: Peer, message: Warm, now_s: float) -> None:
-        """Load an artifact while in no group."""
+        """Load an artifact while this instance belongs to no group."""
         if message.counter >= self.grant.highest:
             self.grant.learn(message.counter)
             self._warm_epoch = message.counter
             self._warm_order = TargetOrder(fence_of(message.counter), message.artifact)
 
     def tick(self, now_s: float) -> None:
-        """Send heartbeats and order the target when due."""
+        """Send heartbeats, readiness changes and target orders that are due."""
         if self.gate is not None and now_s - self._last_heartbeat_s >= self._heartbeat_interval_s():
             self._last_heartbeat_s = now_s
             self._send_heartbeats(self.gate, now_s)
@@ -386,7 +390,7 @@
         )
 
     def _replace_lost_members(self, gate: LeaderGate, now_s: float) -> None:
-        """Let standbys take the places of lost members, for which the table is not needed."""
+        """Replace lost members by standbys, which does not need the table."""
         row = gate.row
         lost = gate.lost(now_s, self.timing.standby_after_s)
         available = gate.able_standbys(now_s)
@@ -403,13 +407,13 @@
         self.adopt(reformed, now_s)
 
     def send_heartbeat_soon(self) -> None:
-        """Send heartbeats at the next tick, so that members hear of a new version."""
+        """Send heartbeats at the next tick, so that members learn of a change at once."""
         self._last_heartbeat_s = -1.0e9
 
     def _schedule_heartbeat(self, wait_s: float, now_s: float) -> None:
-        """Send the next heartbeats when a grant that was refused can be given, if that is sooner.
+        """Send the next heartbeats once a refused grant can be given, if that is earlier.
 
-        Else a group whose member started again stays closed for up to a heartbeat longer.
+        Otherwise a group with a restarted member stays closed for up to one heartbeat longer.
         """
         if wait_s > 0.0:
             earlier_s = now_s + wait_s - self._heartbeat_interval_s()
@@ -425,8 +429,8 @@
             self.on_grant(self.me, grant, now_s)
         else:
             self._schedule_heartbeat(grant_result.unwrap_err().wait_s, now_s)
-        # The gate stays closed by a leaving member's last grant, or by this agent's own end, so
-        # once drained the member may go.
+        # A leaving member's last grant, or this agent's own shutdown, keeps the gate closed. Once
+        # drained, the member may therefore be released.
         drained = self._drained()
         self._track_shutdown_notice(drained and self.leaving, sequence, now_s)
         for peer in self._other_peers(row):
@@ -436,7 +440,7 @@
             self._outbox.send(peer, beat)
 
     def _track_shutdown_notice(self, stopping: bool, sequence: int, now_s: float) -> None:
-        """Note with which heartbeat the members are first told that this leader ends."""
+        """Record the first heartbeat that announces this leader's shutdown to the members."""
         if not stopping:
             self._shutdown_sequence = None
         elif self._shutdown_sequence is None:
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/node.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/node.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The agent as one node: a message or a tick in, effects out."""
+"""The agent as a state machine: messages, ticks and target events in, effects out."""
 
 from collections.abc import Callable
 from typing import Any
@@ -47,13 +47,13 @@
 from ochreway_nodes.viewspread import ViewSpread
 
 STOP_LINGER_S = 1.0
-"""How long a stopping agent still refuses what entries sent before they knew."""
+"""How long a stopping agent keeps refusing requests sent before entries learned of the stop."""
 
 Handler = Callable[[Peer, Any, float], None]
 
 
 class AgentNode:
-    """Join membership, serving and the memory of keys."""
+    """Combine group membership, serving and the record of idempotency keys."""
 
     def __init__(
         self,
@@ -111,15 +111,15 @@
 
     @property
     def version(self) -> Version:
-        """Return the configuration version in force here."""
+        """The configuration version in force here."""
         return self.spread.view.version
 
     def take(self) -> list[Effect]:
-        """Return the effects asked for since they were last taken."""
+        """Return and clear the effects requested since the last call."""
         return self._outbox.take()
 
     def on_message(self, sender: Peer, version: Version, message: object, now_s: float) -> None:
-        """Handle a message that showed its sender's version."""
+        """Handle a message; ``version`` is the sender's configuration version."""
         self.spread.seen(sender, version, now_s)
         handler = self._handlers.get(type(message))
         if handler is None:
@@ -128,8 +128,9 @@
         handler(sender, message, now_s)
 
     def on_tick(self, now_s: float) -> None:
-        """Do what is due."""
-        # The list lags, so a notice may be meant for a process before this one: it lapses.
+        """Run the periodic work of all parts."""
+        # The platform's list lags, so a leave notice may be meant for an earlier process of this
+        # instance. It therefore expires unless it is repeated.
         if not self._stopping and not self._target_leaving and now_s > self._leave_notice_until_s:
             self._set_leaving(False, now_s)
         self.membership.tick(now_s)
@@ -138,18 +139,18 @@
         self.keys.forget(now_s)
 
     def on_target_state(self, state: TargetState) -> None:
-        """Take in what the target says it has loaded."""
+        """Set the state that the target reported."""
         self.membership.set_target_state(state)
         if self._target_leaving and not state.leaving and state.seen_s > self._target_notice_s:
-            # Another process answers: one that leaves says so in each of its answers.
+            # A leaving target says so in every answer, so another process answered this one.
             self._target_leaving = False
 
     def on_target_notice(
         self, notice: TargetNotice, now_s: float, to_request: bool = False
     ) -> None:
-        """Do what the target asked for in the head of an answer: leave it alone, or leave it.
+        """Handle a notice in an answer's headers: a rate limit, a backoff or a leaving target.
 
-        An answer to a request that names no limit says that there is none.
+        An answer to a request without a limit means that the target has none.
         """
         if to_request or notice.limit_per_s is not None:
             self.membership.set_target_limit(notice.limit_per_s)
@@ -166,53 +167,53 @@
             self._set_leaving(True, now_s)
 
     def may_poll(self, now_s: float) -> bool:
-        """Tell whether the target may be asked for its state now."""
+        """Return whether the target may be polled for its state now, and record the poll if so."""
         return not self.membership.backoff_s(now_s) and self.membership.limit.may_poll(now_s)
 
     @property
     def has_limit(self) -> bool:
-        """Tell whether the target has a limit."""
+        """Whether the target has a rate limit."""
         return self.membership.limit.limit_per_s is not None
 
     def on_target_process_state(self, ended: bool, now_s: float) -> None:
-        """Take whether the process of a target that may not be asked has ended."""
+        """Handle a check whether the process of a target that must not be polled has ended."""
         self.membership.set_target_process_state(ended, now_s)
 
     def on_turned_away(self, attempt: AttemptId, now_s: float) -> None:
-        """End an attempt that the target says it did not begin."""
+        """End an attempt that the target refused without beginning it."""
         self.serving.on_turned_away(attempt, now_s)
 
     def on_chunk(self, attempt: AttemptId, chunk: Chunk, now_s: float) -> None:
-        """Take in a piece of an answer."""
+        """Handle a chunk of an answer."""
         self.serving.on_chunk(attempt, chunk, now_s)
 
     def on_hand_over_missed(self, attempt: AttemptId, now_s: float) -> None:
-        """End an attempt whose hand-over did not happen."""
+        """End an attempt that was not handed to the target in time."""
         self.serving.on_hand_over_missed(attempt, now_s)
 
     def on_target_failed(
         self, attempt: AttemptId, started: bool, now_s: float, ended: bool = False
     ) -> None:
-        """End an attempt that the target gave up.
+        """End an attempt that the target failed.
 
-        ``started`` tells that it may have begun, ``ended`` that its process ended under it. Where
-        nobody listens, or the process ended, the gate closes until the target has answered again,
-        so that no more requests are handed to it in vain.
+        ``started`` means that the target may have begun the attempt, ``ended`` that its process
+        ended while running it. If the target was unreachable or its process ended, the gate closes
+        until the target answers again, so that no further requests are lost on it.
         """
         if ended or not started:
             self.membership.reset_target()
         self.serving.on_target_failed(attempt, started, now_s, ended)
 
     def may_hand_over(self, order: HandOver, now_s: float) -> bool:
-        """Tell, at the moment of the hand-over, whether it may still happen."""
+        """Return whether a hand-over may still happen; checked right before it."""
         return self.serving.may_hand_over(order, now_s)
 
     def may_order(self, order: OrderTarget, now_s: float) -> bool:
-        """Tell, at the moment of the order, whether it still stands."""
+        """Return whether an order may still be sent to the target; checked right before sending."""
         return now_s < order.valid_until_s and self.membership.is_order_valid(order.order, now_s)
 
     def leave(self, now_s: float) -> None:
-        """Begin a planned stop: take no new work, finish what runs."""
+        """Begin a planned stop: admit no new requests and finish the running ones."""
         self._stopping = True
         self._set_leaving(True, now_s)
 
@@ -227,7 +228,7 @@
         self.loads.tick(now_s)
 
     def may_stop(self, now_s: float) -> bool:
-        """Tell whether a planned stop would cut nothing."""
+        """Return whether stopping now would interrupt no request."""
         if now_s - self._leaving_changed_s < STOP_LINGER_S:
             return False
         if self.membership.leads:
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/serving.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/serving.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An agent's handling of attempts: queue, hand-over, answers, withdrawal."""
+"""An agent's handling of attempts: queueing, hand-over, answers and withdrawal."""
 
 from collections.abc import Callable
 
@@ -21,19 +21,24 @@
 from ochreway_routing.work import Work
 
 LEDGER_RETENTION_S = 60.0
+"""How long an attempt stays in the ledger after its deadline."""
 DEADLINE_GRACE_S = 1.0
+"""Time after its deadline at which a running attempt is aborted."""
 MAX_QUEUED_PER_SLOT = 2
 CLOSED_RETRY_AFTER_S = 2.0
+"""Retry-after time of refusals while the gate is closed for an unknown time."""
 ANSWER_WINDOW_BYTES = 64 * 1024
+"""Bound on answer bytes sent to an entry that its caller has not received yet."""
 MAX_PREFILL_AHEAD_S = 0.25
-"""How much prefill is handed over ahead; the rest waits where it can be put in order."""
+"""Bound on prefill handed to the target ahead; the rest waits in the queue, in its order."""
 EXPECTED_ANSWER_S = 2.0
+"""Time per answer that retry-after estimates assume."""
 
 Rejection = tuple[Outcome, Reason]
 
 
 class Serving:
-    """Run each attempt at most once and say truthfully what became of it."""
+    """Run each attempt at most once, and never report one as not run that may have run."""
 
     def __init__(self, membership: Membership, version: Callable[[], int], outbox: Outbox) -> None:
         self.ledger = AttemptLedger()
@@ -47,13 +52,13 @@
 
     @property
     def running(self) -> int:
-        """Return how many attempts the target has."""
+        """The number of attempts that the target is running."""
         return len(self._handed_over)
 
     # Arrival
 
     def on_submit(self, sender: Peer, submit: Submit, now_s: float) -> None:
-        """Queue an attempt, or refuse it."""
+        """Queue an attempt or refuse it; a duplicate gets its earlier outcome again."""
         received = self._last_sequences.get(sender.node, 0)
         self._last_sequences[sender.node] = max(received, submit.attempt.sequence)
         known = self.ledger.get(submit.attempt)
@@ -125,23 +130,23 @@
             )
 
     def _closed_retry_after_s(self, reason: Reason, now_s: float) -> float:
-        """Return when to come back to a group that is closed, exactly where it is known."""
+        """Return the retry-after time of a closed group, exact if the target announced it."""
         reopening_known = reason in (Reason.BACKOFF, Reason.TARGET_LIMIT)
         return self._membership.reopens_in_s(now_s) if reopening_known else CLOSED_RETRY_AFTER_S
 
     def _lateness_s(self, work: Work[AttemptRecord], now_s: float) -> float:
-        """Return by how much the work is expected to miss its deadline."""
+        """Return by how much the work is expected to miss its deadline; negative if it meets it."""
         wait_s = self.meter.wait_s(*self.queue.ahead_of(work), self.queue.slots)
         return now_s + wait_s + work.needed_s - work.deadline_s
 
     @property
     def next_s(self) -> float:
-        """Return when the queue's first is expected to begin its prefill."""
+        """The expected time until the first queued attempt begins its prefill."""
         return self.meter.next_s(self.queue.slots)
 
     @property
     def backlog_s(self) -> float:
-        """Return how long the prefill ahead is expected to take, handed over or queued."""
+        """The expected duration of all outstanding prefill, handed over or queued."""
         queued = sum(work.prefill_tokens for work in self.queue.waiting())
         return self.meter.backlog_s + queued * self.meter.prefill_s_per_token
 
@@ -150,14 +155,14 @@
         return self._last_sequences.get(entry, 0)
 
     def retry_after_s(self) -> float:
-        """Return when the queue is expected to have room."""
+        """Return the expected time until the queue has room."""
         answers_ahead = (len(self.queue) + 1) / max(self.queue.slots, 1)
         return honest_retry_after_s(answers_ahead * EXPECTED_ANSWER_S)
 
     # Hand-over
 
     def dispatch(self, now_s: float) -> None:
-        """Hand queued work to the target while slots are free and the gate is open."""
+        """Hand queued attempts to the target while slots are free and the gate is open."""
         if not len(self.queue):
             return
         closed = self._membership.refusal_reason(now_s)
@@ -177,7 +182,7 @@
             self._hand_over(next_work, now_s)
 
     def _may_hand_over_more(self, now_s: float) -> bool:
-        """Tell whether the target has a free slot and may be handed one more request."""
+        """Return whether the target has a free slot and its limits allow another request."""
         has_room = self.running < self.queue.slots and self.meter.backlog_s < MAX_PREFILL_AHEAD_S
         return has_room and not self._membership.limit.wait_s(now_s)
 
@@ -186,7 +191,7 @@
         gate = self._membership.gate
         assert gate is not None
         assert record.submit is not None
-        # In doubt it counts as handed over, so this goes before the effect.
+        # An attempt counts as handed over if in doubt, so the state changes before the effect.
         record.state = AttemptState.HANDED
         submit = record.submit
         self._handed_over[submit.attempt] = record
@@ -196,7 +201,7 @@
         self._outbox.add(HandOver(submit, valid_until_s))
 
     def may_hand_over(self, order: HandOver, now_s: float) -> bool:
-        """Tell, at the moment of the hand-over, whether it may still happen."""
+        """Return whether a hand-over may still happen; checked right before it."""
         record = self.ledger.get(order.submit.attempt)
         if record is None or record.state is not AttemptState.HANDED:
             return False
@@ -206,7 +211,7 @@
         return same_epoch and is_open and now_s < order.valid_until_s
 
     def on_hand_over_missed(self, attempt: AttemptId, now_s: float) -> None:
-        """End an attempt whose hand-over did not happen."""
+        """End an attempt that was not handed to the target in time."""
         record = self.ledger.get(attempt)
         if record is not None and record.state is AttemptState.HANDED:
             self._free_slot(record, now_s)
@@ -215,7 +220,7 @@
     # Answers
 
     def on_chunk(self, attempt: AttemptId, chunk: Chunk, now_s: float) -> None:
-        """Pass on a piece of the target's answer."""
+        """Forward a chunk of the target's answer to the entry."""
         record = self.ledger.get(attempt)
         if record is None or record.state is not AttemptState.HANDED:
             return
@@ -248,7 +253,7 @@
             self.dispatch(now_s)
 
     def on_turned_away(self, attempt: AttemptId, now_s: float) -> None:
-        """End an attempt that the target says it did not begin."""
+        """End an attempt that the target refused without beginning it."""
         record = self.ledger.get(attempt)
         if record is None or record.state is not AttemptState.HANDED:
             return
@@ -261,13 +266,13 @@
     def on_target_failed(
         self, attempt: AttemptId, started: bool, now_s: float, ended: bool = False
     ) -> None:
-        """End an attempt that the target gave up.
+        """End an attempt that the target failed.
 
         Args:
-            attempt: which one.
-            started: False only when the target cannot have begun it.
-            now_s: the time.
-            ended: True when the target's process ended while it ran it.
+            attempt: the attempt.
+            started: False only if the target cannot have begun the attempt.
+            now_s: the current time.
+            ended: True if the target's process ended while running the attempt.
         """
         record = self.ledger.get(attempt)
         if record is None or record.state is not AttemptState.HANDED:
@@ -280,13 +285,13 @@
         self.dispatch(now_s)
 
     def on_credit(self, sender: Peer, credit: Credit, now_s: float) -> None:
-        """Note how much of an answer has been passed on."""
+        """Record how much of an answer the caller has received."""
         record = self.ledger.get(credit.attempt)
         if record is not None:
             record.answer.passed = max(record.answer.passed, credit.passed)
 
     def may_read(self, attempt: AttemptId) -> bool:
-        """Tell whether the attempt's answer has room in its window."""
+        """Return whether more of the attempt's answer may be read from the target."""
         record = self.ledger.get(attempt)
         if record is None or record.state is not AttemptState.HANDED:
             return True
@@ -295,7 +300,7 @@
     # Withdrawal
 
     def on_withdraw(self, sender: Peer, message: Withdraw, now_s: float) -> None:
-        """Forbid an attempt, resume its answer, or say how it ended."""
+        """Forbid an attempt, resume its answer or report its outcome."""
         record = self.ledger.get(message.attempt)
         if record is None:
             self._forbid(sender, message, now_s)
@@ -344,7 +349,7 @@
         self._outbox.send(sender, Settled(message.attempt, record.outcome, record.reason))
 
     def on_cancel(self, sender: Peer, message: Cancel, now_s: float) -> None:
-        """Stop an attempt that nobody waits for."""
+        """Stop an attempt whose caller is gone."""
         record = self.ledger.get(message.attempt)
         if record is None:
             self._forbid(sender, Withdraw(message.attempt, self._membership.incarnation, 0), now_s)
@@ -359,7 +364,7 @@
     # Group changes
 
     def on_epoch_changed(self, now_s: float) -> None:
-        """End what belongs to the group that this agent has left."""
+        """End all attempts of the group that this agent has left."""
         for work in self.queue.take_all():
             self._end_attempt(work.item, Outcome.NOT_RUN, Reason.STALE_EPOCH, CLOSED_RETRY_AFTER_S)
         for attempt, record in list(self._handed_over.items()):
@@ -374,15 +379,15 @@
 
     @property
     def drained(self) -> bool:
-        """Tell whether no attempt is queued or running."""
+        """Whether no attempt is queued or running."""
         return not self.running and not len(self.queue)
 
     def tick(self, now_s: float) -> None:
-        """Dispatch what can go, end what has run out of time, forget what is old."""
+        """Abort overdue attempts, dispatch queued ones and purge old ledger records."""
         cutoff_s = now_s - DEADLINE_GRACE_S
         for attempt, record in list(self._handed_over.items()):
             if record.deadline_s < cutoff_s:
-                # Its entry would have cancelled it; it is gone.
+                # Its entry would have cancelled the attempt by now, so the entry is lost.
                 self._abort(attempt, record, Reason.DEADLINE_PASSED, now_s)
         self.dispatch(now_s)
         self.ledger.forget(now_s)
--- a/tests/nodes/leadercase.py
+++ b/tests/nodes/leadercase.py
@@ -38,7 +38,7 @@
 
 
 class LeaderCase(testtools.TestCase):
-    """Make agents, orders and heartbeats."""
+    """Base class that builds agents, orders and heartbeats."""
 
     def agent(self, name: str) -> AgentNode:
         return AgentNode(peer(name), Incarnation(1), Timing(), {}, 0.0, 0.0)
--- a/tests/nodes/test_farewell.py
+++ b/tests/nodes/test_farewell.py
@@ -1,12 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""All instances of a group are told to stop at once, and the leader's last words are lost.
-
-Seen: on a planned stop of a whole group an agent had not ended 40 s after SIGTERM; it waited until
-its leader, which was gone, had been silent for a minute.
-Cause: a leader went as soon as it had sent the word that its members are released, whether or not
-it arrived. A member that had not yet been told to stop forgot it, and so did one that adopted a
-later step of the group's row after it. Proved by these tests: the first words are lost, or come
-too early.
+"""Planned stop of a whole group while the leader's release notices are lost or come early.
+
+Guards against agents that did not stop within 40 s of SIGTERM, because they waited until their
+leader, which had stopped already, had been silent for a minute. The leader stopped as soon as it
+had sent the notice that its members are released, whether or not it arrived. A member that had not
+been asked to stop yet discarded the notice, and so did a member that adopted a later step of the
+group's row afterwards.
 """
 
 from collections.abc import Callable
@@ -21,20 +20,20 @@
 
 TICK_S = 0.05
 MAX_STOP_S = 3.0
-"""Within how long a stop with nothing under way ends."""
+"""Bound on the duration of a stop with no requests in flight."""
 RUN_S = 70.0
 
 LossRule = Callable[[NodeId, NodeId, object, float], bool]
-"""Tell whether a message from one agent to another is lost."""
+"""Decides whether a message from one agent to another is lost."""
 
 
 def lose_nothing(sender: NodeId, recipient: NodeId, message: object, now_s: float) -> bool:
-    """Lose nothing."""
+    """Deliver every message."""
     return False
 
 
 class LoseFirstReleases:
-    """Lose the first few words of a member's release."""
+    """Lose the first release notices sent to member ``b``."""
 
     def __init__(self, lost: int) -> None:
         self._remaining = lost
@@ -59,7 +58,7 @@
         self.run_for(2.0)
 
     def run_for(self, duration_s: float) -> None:
-        """Let agents tick and hear each other; those that may stop are gone at once."""
+        """Tick the agents and deliver their messages; remove each as soon as it may stop."""
         end_s = self.now_s + duration_s
         while self.now_s < end_s:
             self.now_s += TICK_S
--- a/tests/nodes/test_fatalrequest.py
+++ b/tests/nodes/test_fatalrequest.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The incident of a request that ends whatever runs it, through native entries and agents.
+"""A request that ends the process of any target that runs it, with native entries and agents.
 
-The same cause stood there: a repeatable request was sent on after its target had ended, and each
-entry that its caller came to knew nothing of the others' tries.
+Guards against such a request reaching many targets: a repeatable request was retried after its
+target had ended, and no entry knew of the attempts made through other entries.
 """
 
 import testtools
@@ -11,7 +11,7 @@
 from ochreway_standins.soak.simtarget import FATAL
 
 MAX_SENDS = 3 + 2
-"""Three crashes, and what others had under way as the third was told."""
+"""Three crashes, plus the attempts other entries had in flight when the third became known."""
 
 
 class FatalRequestTests(testtools.TestCase):
--- a/tests/nodes/test_membership.py
+++ b/tests/nodes/test_membership.py
@@ -106,10 +106,10 @@
 
 
 class RepairTimeTests(LeaderCase):
-    """How soon a group closes when a target is gone, and serves again when it is back."""
+    """How soon a group closes when its target is lost, and serves again when it is back."""
 
     def test_a_member_notifies_its_leader_at_once_when_its_target_is_ready(self) -> None:
-        """Guards against groups that stay closed up to a heartbeat after their last load."""
+        """Guard against groups that stay closed for up to a heartbeat after their last load."""
         agent, group_row = self.agent("b"), row("abc")
         agent.on_target_state(TargetState(group_row.fence, "art", False, 10.0))
         first = self.deliver(agent, self.heartbeat(group_row, 7, with_row=True), 10.0, "a")[-1]
@@ -143,7 +143,7 @@
         self.assertEqual(Reason.NONE, agent.membership.closed_because(10.3))
 
     def test_an_unreachable_target_closes_the_gate_until_it_answers(self) -> None:
-        """Guards against requests handed for two seconds to a target whose process has ended."""
+        """Guard against requests handed for two seconds to a target whose process has ended."""
         for started, ended in ((False, False), (True, True)):
             agent, group_row = self.leader()
             agent.on_target_failed(AttemptId(NodeId("e"), Incarnation(1), 1), started, 10.1, ended)
@@ -154,7 +154,7 @@
             self.assertEqual(Reason.NONE, agent.membership.closed_because(10.2))
 
     def test_an_empty_target_loads_while_its_agent_may_not_grant_yet(self) -> None:
-        """Guards against loads that begin only after the time for which grants may stand."""
+        """Guard against loads that begin only once any earlier grant must have expired."""
         for artifact, epoch, due in (("", 0, True), ("other", 3, False)):
             agent = self.agent("b")
             self.order(agent, row("abc"), 0.5)
--- a/tests/nodes/test_serving.py
+++ b/tests/nodes/test_serving.py
@@ -19,7 +19,7 @@
 
 
 class ServingTests(LeaderCase):
-    """Drive a leader whose gate is open."""
+    """Attempts at a leader whose gate is open."""
 
     def submit(self, sequence: int = 1, incarnation: int = 1, **more: object) -> Submit:
         fields: dict[str, object] = {
