--- a/packages/ochreway-daemon/src/ochreway_daemon/api/callers.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/api/callers.py
@@ -53,7 +53,7 @@
         async def guarded(request: web.Request) -> web.StreamResponse:
             if self._shell.node.stopping:
                 return refusal(Outcome.NOT_RUN, Reason.STOPPING, STOPPING_RETRY_S)
-            if self._shell.node.spread.view.bundle is None:
+            if self._shell.node.view_sync.view.bundle is None:
                 return refusal(Outcome.NOT_RUN, Reason.NO_CONFIGURATION, CONFIGURATION_RETRY_S)
             try:
                 return await handler(request)
@@ -69,7 +69,7 @@
 
     @property
     def _bundle(self) -> Bundle:
-        bundle = self._shell.node.spread.view.bundle
+        bundle = self._shell.node.view_sync.view.bundle
         assert bundle is not None
         return bundle
 
--- a/packages/ochreway-daemon/src/ochreway_daemon/api/status.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/api/status.py
@@ -86,7 +86,7 @@
         "members": [
             {
                 "node": peer.node,
-                "version": node.spread.shown_by(peer.node),
+                "version": node.view_sync.version_of(peer.node),
                 "why_not_ready": _why_not_ready(controller.health.get(peer.node), row, now_s),
             }
             for peer in row.members
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/node.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/node.py
@@ -44,7 +44,7 @@
 from ochreway_nodes.agent.serving import Serving
 from ochreway_nodes.outbox import Outbox
 from ochreway_nodes.targetstate import TargetState
-from ochreway_nodes.viewspread import ViewSpread
+from ochreway_nodes.viewsync import ViewSync
 
 STOP_LINGER_S = 1.0
 """How long a stopping agent keeps refusing requests sent before entries learned of the stop."""
@@ -74,7 +74,7 @@
         self._target_notice_s = now_s
         self._timing = timing
         self._outbox = Outbox()
-        self.spread = ViewSpread(View(operator_keys, timing.key_memory_s), self._outbox)
+        self.view_sync = ViewSync(View(operator_keys, timing.key_memory_s), self._outbox)
         self.membership = Membership(
             me,
             incarnation,
@@ -103,7 +103,7 @@
             Credit: self.serving.on_credit,
             Claim: self._on_claim,
             ClaimEnd: self._on_claim_end,
-            ViewRequest: self.spread.on_request,
+            ViewRequest: self.view_sync.on_request,
             ViewUpdate: self._on_view_update,
             ViewDelta: self._on_view_delta,
             LeaveNotice: self._on_leave_notice,
@@ -112,7 +112,7 @@
     @property
     def version(self) -> Version:
         """The configuration version in force here."""
-        return self.spread.view.version
+        return self.view_sync.view.version
 
     def take(self) -> list[Effect]:
         """Return and clear the effects requested since the last call."""
@@ -120,7 +120,7 @@
 
     def on_message(self, sender: Peer, version: Version, message: object, now_s: float) -> None:
         """Handle a message; ``version`` is the sender's configuration version."""
-        self.spread.seen(sender, version, now_s)
+        self.view_sync.on_peer_version(sender, version, now_s)
         handler = self._handlers.get(type(message))
         if handler is None:
             self._outbox.count("message.unexpected")
@@ -250,18 +250,18 @@
         self._apply(update.snapshot, now_s)
 
     def _on_view_delta(self, sender: Peer, message: ViewDelta, now_s: float) -> None:
-        snapshot = self.spread.snapshot_from(message)
+        snapshot = self.view_sync.snapshot_from(message)
         if snapshot is not None:
             self._apply(snapshot, now_s)
 
     def _apply(self, snapshot: Snapshot, now_s: float) -> None:
-        if not self.spread.apply(snapshot, now_s):
+        if not self.view_sync.apply(snapshot, now_s):
             return
         first_wall_s = snapshot.roll.first_accepted_wall_s
         if first_wall_s > self._started_wall_s + CLOCK_SKEW_S:
             self.keys.stood_before_first_version()
         self.membership.send_heartbeat_soon()
-        bundle = self.spread.view.bundle
+        bundle = self.view_sync.view.bundle
         if bundle is not None:
             self.serving.queue.set_shares(
                 (item.name, item.weight, item.guaranteed_percent) for item in bundle.organisation
--- a/packages/ochreway-nodes/src/ochreway_nodes/hearddrains.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/drainstate.py
@@ -7,7 +7,7 @@
 NEVER_S = float("-inf")
 
 
-class HeardDrains:
+class DrainState:
     """Hold the newest reading of the drained halls, and until when each may serve on.
 
     A reading is the set of drained halls at one version, read from the table or heard from others.
@@ -16,11 +16,11 @@
     the start may be old already; its halls have no time left.
     """
 
-    def __init__(self, serves_on_s: float, now_s: float) -> None:
+    def __init__(self, grace_s: float, now_s: float) -> None:
         """Start without a reading; a hall serves on for so long after its drain was heard of."""
         self.newest = UNREAD_HALLS
-        self._serves_on_s = serves_on_s
-        self._told_by_s = now_s + serves_on_s
+        self._grace_s = grace_s
+        self._stale_until_s = now_s + grace_s
         self._close_s: dict[HallId, float] = {}
 
     @property
@@ -32,20 +32,20 @@
         """Return the halls that get nothing new."""
         return frozenset(hall for hall, close_s in self._close_s.items() if now_s >= close_s)
 
-    def read_none(self) -> None:
+    def record_no_drains(self) -> None:
         """Note that the table was read and no hall was ever drained."""
-        self._told_by_s = NEVER_S
+        self._stale_until_s = NEVER_S
 
-    def take(self, reading: DrainedHalls, now_s: float) -> bool:
+    def apply_reading(self, reading: DrainedHalls, now_s: float) -> bool:
         """Take a reading that is newer than what is known; return whether it was."""
         if not reading.newer_than(self.newest):
             return False
-        old = now_s < self._told_by_s
-        close_s = now_s if old else now_s + self._serves_on_s
+        may_be_stale = now_s < self._stale_until_s
+        close_s = now_s if may_be_stale else now_s + self._grace_s
         self.newest = reading
         self._close_s = {hall: self._close_s.get(hall, close_s) for hall in reading.halls}
-        self._told_by_s = NEVER_S
+        self._stale_until_s = NEVER_S
         return True
 
 
-__all__ = ["HeardDrains"]
+__all__ = ["DrainState"]
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/call.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/call.py
@@ -31,10 +31,10 @@
     sent_s: float
     expected_s: float
     answer: Reassembly = field(default_factory=Reassembly)
-    heard_s: float = 0.0
+    last_received_s: float = 0.0
     lost_s: float = 0.0
-    asked_s: float = 0.0
-    credited: int = 0
+    withdraw_sent_s: float = 0.0
+    credited_bytes: int = 0
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
     state: CallState
     claim: ClaimRound | None = None
     attempt: Attempt | None = None
-    tried: frozenset[GroupId] = frozenset()
+    tried_groups: frozenset[GroupId] = frozenset()
     attempts: int = 0
     may_have_run: bool = False
     fingerprint: Fingerprint = Fingerprint("")
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/calls.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/calls.py
@@ -27,19 +27,19 @@
 from ochreway_core.timing import Timing
 from ochreway_nodes.entry.call import Attempt, Call, CallState
 from ochreway_nodes.entry.crashes import Crashes
-from ochreway_nodes.entry.keyclaims import KeyClaims, why_failed
+from ochreway_nodes.entry.keyclaims import KeyClaims, claim_failure_reason
 from ochreway_nodes.outbox import Outbox
-from ochreway_nodes.viewspread import ViewSpread
+from ochreway_nodes.viewsync import ViewSync
 from ochreway_routing.limits import Limits
 from ochreway_routing.query import RouteQuery
 from ochreway_routing.replica import ReplicaView
 from ochreway_routing.retry import Action, after
 from ochreway_routing.router import Router
 
-CREDIT_EVERY_BYTES = 16 * 1024
-RETRY_SOON_S = 1.0
+CREDIT_INTERVAL_BYTES = 16 * 1024
+SHORT_RETRY_AFTER_S = 1.0
 
-_NO_FAULT = frozenset(
+_BENIGN_REASONS = frozenset(
     {
         Reason.QUEUE_FULL,
         Reason.BACKOFF,
@@ -63,7 +63,7 @@
         me: Peer,
         incarnation: Incarnation,
         timing: Timing,
-        spread: ViewSpread,
+        view_sync: ViewSync,
         router: Router,
         limits: Limits,
         address_of: Callable[[NodeId], Peer | None],
@@ -73,10 +73,10 @@
         self._me = me
         self._incarnation = incarnation
         self._timing = timing
-        self._spread = spread
+        self._view_sync = view_sync
         self._router = router
         self._limits = limits
-        self._keys = KeyClaims(spread, timing, address_of, outbox)
+        self._keys = KeyClaims(view_sync, timing, address_of, outbox)
         self._crashes = crashes
         self._outbox = outbox
         self._sequence = 0
@@ -91,7 +91,7 @@
     def start(self, request: Request, now_s: float) -> None:
         """Begin a request; it ends with one ``Finish`` effect."""
         call = Call(request, CallState.CLAIMING, fingerprint=_fingerprint(request))
-        fatal_s = self._fatal_for_s(call, now_s)
+        fatal_s = self._fatal_wait_s(call, now_s)
         if fatal_s > 0.0:
             # Before any limit: what is never sent takes nobody's share.
             self._finish_refused(request, Reason.ENDS_TARGETS, fatal_s)
@@ -107,11 +107,11 @@
         else:
             self._route(call, now_s)
 
-    def _fatal_for_s(self, call: Call, now_s: float) -> float:
+    def _fatal_wait_s(self, call: Call, now_s: float) -> float:
         """Return for how long a call must not be sent; one on trial is sent once."""
         if call.on_trial and not call.attempts:
             return 0.0
-        verdict = self._crashes.asked(call.fingerprint, now_s)
+        verdict = self._crashes.check_request(call.fingerprint, now_s)
         call.on_trial = verdict.on_trial
         return verdict.fatal_for_s
 
@@ -124,7 +124,7 @@
 
     def _claim(self, call: Call, now_s: float) -> None:
         self._keys.begin(call, now_s)
-        self._follow_claim(call, now_s)
+        self._check_claim(call, now_s)
 
     def on_claim_reply(self, sender: Peer, reply: ClaimReply, now_s: float) -> None:
         """Count a home's vote."""
@@ -133,24 +133,24 @@
             return
         if reply.vote is not Vote.STALE:
             call.claim.voted(sender.node, reply.vote, reply.outcome)
-            self._follow_claim(call, now_s)
+            self._check_claim(call, now_s)
 
-    def _follow_claim(self, call: Call, now_s: float) -> None:
+    def _check_claim(self, call: Call, now_s: float) -> None:
         assert call.claim is not None
         state = call.claim.state()
         if state is ClaimState.WON:
             self._route(call, now_s)
         elif state is not ClaimState.OPEN:
-            self._claim_failed(call, why_failed(call.claim, state))
+            self._fail_claim(call, claim_failure_reason(call.claim, state))
 
-    def _claim_failed(self, call: Call, reason: Reason) -> None:
+    def _fail_claim(self, call: Call, reason: Reason) -> None:
         self._keys.end(call, Outcome.NOT_RUN)
         # Another request under the key may have run, so this is not "not run".
-        self._finish(call, Outcome.UNKNOWN, reason, RETRY_SOON_S)
+        self._finish(call, Outcome.UNKNOWN, reason, SHORT_RETRY_AFTER_S)
 
     def on_view_changed(self, now_s: float) -> None:
         """Claim anew under the version that has come into force."""
-        for call in [each for each in self._calls.values() if each.state is CallState.CLAIMING]:
+        for call in [item for item in self._calls.values() if item.state is CallState.CLAIMING]:
             self._claim(call, now_s)
 
     # Routing
@@ -169,17 +169,17 @@
         )
 
     def _route(self, call: Call, now_s: float) -> None:
-        fatal_s = self._fatal_for_s(call, now_s)
+        fatal_s = self._fatal_wait_s(call, now_s)
         if fatal_s > 0.0:
             self._end(call, Outcome.NOT_RUN, Reason.ENDS_TARGETS, fatal_s)
             return
         query = self._query(call.request)
-        chosen = self._router.choose(query, call.tried, now_s)
-        if chosen.is_err():
-            refused = chosen.unwrap_err()
+        choice = self._router.choose(query, call.tried_groups, now_s)
+        if choice.is_err():
+            refused = choice.unwrap_err()
             self._end(call, Outcome.NOT_RUN, refused.reason, refused.retry_after_s)
             return
-        self._submit(call, chosen.unwrap(), query, now_s)
+        self._submit(call, choice.unwrap(), query, now_s)
 
     def _submit(self, call: Call, replica: ReplicaView, query: RouteQuery, now_s: float) -> None:
         self._sequence += 1
@@ -187,7 +187,7 @@
         expected_s = self._router.expected_first_token_s(query, replica, now_s)
         call.state = CallState.RUNNING
         call.attempts += 1
-        call.tried |= {replica.group}
+        call.tried_groups |= {replica.group}
         call.attempt = Attempt(
             attempt, replica.group, replica.leader, replica.incarnation, now_s, expected_s
         )
@@ -198,7 +198,7 @@
         submit = Submit(
             attempt=attempt,
             request=request.request,
-            version=self._spread.view.version,
+            version=self._view_sync.view.version,
             incarnation=replica.incarnation,
             group=replica.group,
             epoch=replica.epoch,
@@ -225,30 +225,30 @@
             return
         attempt = call.attempt
         call.state = CallState.RUNNING
-        attempt.heard_s = now_s
-        for fresh in attempt.answer.add(frame):
-            self._deliver(call, attempt, fresh, now_s)
+        attempt.last_received_s = now_s
+        for new_frame in attempt.answer.add(frame):
+            self._deliver(call, attempt, new_frame, now_s)
         if attempt.answer.whole:
             self._answered(call, attempt, now_s)
 
     def _deliver(self, call: Call, attempt: Attempt, frame: Frame, now_s: float) -> None:
         if frame.offset == 0:
-            self._learn_first_token(attempt, now_s)
+            self._record_first_token(attempt, now_s)
         request = call.request.request
         self._outbox.add(
             Deliver(request, frame.payload, frame.tokens, frame.status, frame.content_type)
         )
 
-    def passed_on(self, request: RequestId, passed: int) -> None:
+    def record_passed(self, request: RequestId, passed: int) -> None:
         """Note how much of an answer the caller has taken, and credit its agent."""
         call = self._calls.get(request)
         if call is None or call.attempt is None:
             return
-        if passed - call.attempt.credited >= CREDIT_EVERY_BYTES:
-            call.attempt.credited = passed
+        if passed - call.attempt.credited_bytes >= CREDIT_INTERVAL_BYTES:
+            call.attempt.credited_bytes = passed
             self._outbox.send(call.attempt.peer, Credit(call.attempt.attempt, passed))
 
-    def _learn_first_token(self, attempt: Attempt, now_s: float) -> None:
+    def _record_first_token(self, attempt: Attempt, now_s: float) -> None:
         replica = self._router.replicas.get(attempt.group)
         if replica is not None:
             self._router.first_token(replica, attempt.expected_s, now_s - attempt.sent_s)
@@ -256,11 +256,11 @@
     def _answered(self, call: Call, attempt: Attempt, now_s: float) -> None:
         answer = attempt.answer
         assert answer.total is not None
-        whole = invariants.answer_is_whole(answer.received, answer.total, str(attempt.attempt))
+        complete = invariants.answer_is_whole(answer.received, answer.total, str(attempt.attempt))
         self._router.answered(attempt.group, str(attempt.attempt))
-        self._crashes.finished(call.fingerprint, now_s)
-        outcome = Outcome.ANSWERED if whole else Outcome.UNKNOWN
-        self._end(call, outcome, Reason.NONE if whole else Reason.ANSWER_SHORT, 0.0)
+        self._crashes.record_finish(call.fingerprint, now_s)
+        outcome = Outcome.ANSWERED if complete else Outcome.UNKNOWN
+        self._end(call, outcome, Reason.NONE if complete else Reason.ANSWER_SHORT, 0.0)
 
     def on_refusal(self, sender: Peer, refusal: Refusal, now_s: float) -> None:
         """Retry or end an attempt that its agent ended."""
@@ -270,7 +270,9 @@
 
     def on_settled(self, sender: Peer, settled: Settled, now_s: float) -> None:
         """Retry or end an attempt that its agent knows to have ended."""
-        self._attempt_ended(settled.attempt, settled.outcome, settled.reason, RETRY_SOON_S, now_s)
+        self._attempt_ended(
+            settled.attempt, settled.outcome, settled.reason, SHORT_RETRY_AFTER_S, now_s
+        )
 
     def _attempt_ended(
         self,
@@ -286,11 +288,11 @@
         call.may_have_run = call.may_have_run or outcome is Outcome.UNKNOWN
         if reason is Reason.TARGET_ENDED:
             target = InstanceId(call.attempt.peer.node)
-            self._crashes.crashed(call.fingerprint, target, now_s)
+            self._crashes.record_crash(call.fingerprint, target, now_s)
         if reason in (Reason.BACKOFF, Reason.TARGET_LIMIT):
             self._router.left_alone(call.attempt.group, now_s + retry_after_s, reason)
-        fault = reason not in _NO_FAULT
-        if self._router.failed(call.attempt.group, str(attempt), fault, now_s):
+        is_failure = reason not in _BENIGN_REASONS
+        if self._router.failed(call.attempt.group, str(attempt), is_failure, now_s):
             self._outbox.count("ejection")
         if self._may_retry(call, outcome, reason):
             self._retry(call, reason, now_s)
@@ -319,22 +321,22 @@
         """Settle the attempts that were sent over a link that is gone."""
         for call in list(self._by_attempt.values()):
             if call.attempt is not None and call.attempt.peer.node == node:
-                self._lose(call, call.attempt, now_s)
+                self._on_attempt_lost(call, call.attempt, now_s)
 
-    def _lose(self, call: Call, attempt: Attempt, now_s: float) -> None:
+    def _on_attempt_lost(self, call: Call, attempt: Attempt, now_s: float) -> None:
         if call.request.repeatable and not call.streamed:
             self._outbox.send(attempt.peer, Cancel(attempt.attempt))
             self._attempt_ended(
-                attempt.attempt, Outcome.UNKNOWN, Reason.LINK_LOST, RETRY_SOON_S, now_s
+                attempt.attempt, Outcome.UNKNOWN, Reason.LINK_LOST, SHORT_RETRY_AFTER_S, now_s
             )
             return
         if call.state is CallState.RUNNING:
             call.state = CallState.SETTLING
             attempt.lost_s = now_s
-            self._ask_to_withdraw(attempt, now_s)
+            self._send_withdraw(attempt, now_s)
 
-    def _ask_to_withdraw(self, attempt: Attempt, now_s: float) -> None:
-        attempt.asked_s = now_s
+    def _send_withdraw(self, attempt: Attempt, now_s: float) -> None:
+        attempt.withdraw_sent_s = now_s
         message = Withdraw(attempt.attempt, attempt.incarnation, attempt.answer.received)
         self._outbox.send(attempt.peer, message)
 
@@ -353,18 +355,18 @@
         """End what has run out of time and ask again where answers are due."""
         for call in list(self._calls.values()):
             if now_s >= call.request.deadline_s:
-                self._out_of_time(call)
+                self._expire(call)
             else:
-                _TICKS[call.state](self, call, now_s)
+                _TICK_HANDLERS[call.state](self, call, now_s)
 
-    def _out_of_time(self, call: Call) -> None:
+    def _expire(self, call: Call) -> None:
         self._cancel_attempt(call)
         outcome = Outcome.UNKNOWN if call.attempt or call.claim else Outcome.NOT_RUN
-        self._end(call, outcome, Reason.DEADLINE_PASSED, RETRY_SOON_S)
+        self._end(call, outcome, Reason.DEADLINE_PASSED, SHORT_RETRY_AFTER_S)
 
     def _tick_claiming(self, call: Call, now_s: float) -> None:
         if call.claim is not None and now_s >= call.claim.give_up_s:
-            self._claim_failed(call, why_failed(call.claim, call.claim.state_at_last()))
+            self._fail_claim(call, claim_failure_reason(call.claim, call.claim.state_at_last()))
 
     def _tick_running(self, call: Call, now_s: float) -> None:
         """Take a leader that has fallen silent for one whose link is gone."""
@@ -372,19 +374,19 @@
         replica = self._router.replicas.get(attempt.group) if attempt else None
         if attempt is None or replica is None or replica.legacy_percent:
             return
-        heard_s = max(attempt.heard_s, attempt.sent_s, replica.reported_s)
-        if now_s - heard_s > self._timing.peer_silent_s:
-            self._lose(call, attempt, now_s)
+        last_received_s = max(attempt.last_received_s, attempt.sent_s, replica.reported_s)
+        if now_s - last_received_s > self._timing.peer_silent_s:
+            self._on_attempt_lost(call, attempt, now_s)
 
     def _tick_settling(self, call: Call, now_s: float) -> None:
         attempt = call.attempt
         assert attempt is not None
         if now_s - attempt.lost_s >= self._timing.settle_give_up_s:
             self._attempt_ended(
-                attempt.attempt, Outcome.UNKNOWN, Reason.LINK_LOST, RETRY_SOON_S, now_s
+                attempt.attempt, Outcome.UNKNOWN, Reason.LINK_LOST, SHORT_RETRY_AFTER_S, now_s
             )
-        elif now_s - attempt.asked_s >= self._timing.settle_resend_s:
-            self._ask_to_withdraw(attempt, now_s)
+        elif now_s - attempt.withdraw_sent_s >= self._timing.settle_resend_s:
+            self._send_withdraw(attempt, now_s)
 
     # End
 
@@ -416,7 +418,7 @@
     return fingerprint_of(request.organisation, request.method, path, request.body)
 
 
-_TICKS: dict[CallState, Callable[[Calls, Call, float], None]] = {
+_TICK_HANDLERS: dict[CallState, Callable[[Calls, Call, float], None]] = {
     CallState.CLAIMING: Calls._tick_claiming,
     CallState.RUNNING: Calls._tick_running,
     CallState.SETTLING: Calls._tick_settling,
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/crashes.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/crashes.py
@@ -11,13 +11,13 @@
 from ochreway_routing.crashrecord import FATAL_CRASHES
 from ochreway_routing.crashverdict import CrashVerdict
 
-REPEAT_S = 2.0
+REPEAT_INTERVAL_S = 2.0
 """How often fatal requests are told again, should a word of them have been lost."""
-REPEATED = 4
+MAX_REPEATED = 4
 """How many of them are told each time, those first that were asked for last."""
-MET_SUSPECTS_S = 30.0
+SUSPECTS_MAX_AGE_S = 30.0
 """How old the suspects are at most that an entry is told of when it asks for all."""
-TOLD_FROM = 2
+MIN_LOGGED_CRASHES = 2
 """From how many crashes on a line is written: after one all callers of a target are suspects."""
 
 
@@ -33,67 +33,71 @@
         self._book = CrashBook()
         self._outbox = outbox
         self._neighbours: tuple[Peer, ...] = ()
-        self._asked_of: frozenset[NodeId] = frozenset()
-        self._repeated_s = float("-inf")
+        self._queried: frozenset[NodeId] = frozenset()
+        self._last_repeat_s = float("-inf")
 
     def set_neighbours(self, neighbours: Iterable[Peer]) -> None:
         """Tell these from now on, and ask those that are new what they know."""
         self._neighbours = tuple(dict.fromkeys(neighbours))
         for peer in self._neighbours:
-            if peer.node not in self._asked_of:
+            if peer.node not in self._queried:
                 self._outbox.send(peer, CrashNews((), asks=True))
-        self._asked_of = frozenset(peer.node for peer in self._neighbours)
+        self._queried = frozenset(peer.node for peer in self._neighbours)
 
-    def asked(self, fingerprint: Fingerprint, now_s: float) -> CrashVerdict:
+    def check_request(self, fingerprint: Fingerprint, now_s: float) -> CrashVerdict:
         """Note that a request is asked for; return whether it may be sent."""
         verdict = self._book.asked(fingerprint, now_s)
         if verdict.on_trial:
             self._outbox.count("crash.on_trial")
             self._outbox.log("request_on_trial", fingerprint=fingerprint)
-            self._tell([fingerprint], self._neighbours, now_s)
+            self._send_sightings([fingerprint], self._neighbours, now_s)
         return verdict
 
-    def crashed(self, fingerprint: Fingerprint, target: InstanceId, now_s: float) -> None:
+    def record_crash(self, fingerprint: Fingerprint, target: InstanceId, now_s: float) -> None:
         """Note that a target ended under a request."""
         self._outbox.count("crash.under_request")
         if self._book.crashed(fingerprint, target, now_s):
-            self._note(fingerprint)
-            self._tell([fingerprint], self._neighbours, now_s)
+            self._log_crashes(fingerprint)
+            self._send_sightings([fingerprint], self._neighbours, now_s)
 
-    def finished(self, fingerprint: Fingerprint, now_s: float) -> None:
+    def record_finish(self, fingerprint: Fingerprint, now_s: float) -> None:
         """Note that a target ran a request to its end and goes on."""
         if self._book.finished(fingerprint, now_s):
             self._outbox.count("crash.cleared")
-            self._tell([fingerprint], self._neighbours, now_s)
+            self._send_sightings([fingerprint], self._neighbours, now_s)
 
     def on_news(self, sender: Peer, news: CrashNews, now_s: float) -> None:
         """Take what another entry tells, pass on what is news, and answer if it asks."""
-        found = [each.fingerprint for each in news.sightings if self._book.hear(each, now_s)]
-        for fingerprint in found:
-            self._note(fingerprint)
+        updated = [
+            sighting.fingerprint for sighting in news.sightings if self._book.hear(sighting, now_s)
+        ]
+        for fingerprint in updated:
+            self._log_crashes(fingerprint)
         others = tuple(peer for peer in self._neighbours if peer.node != sender.node)
-        self._tell(found, others, now_s)
+        self._send_sightings(updated, others, now_s)
         if news.asks:
-            counting = [*self._book.suspects(now_s - MET_SUSPECTS_S), *self._book.fatal()]
-            self._tell(counting, (sender,), now_s)
+            relevant = [*self._book.suspects(now_s - SUSPECTS_MAX_AGE_S), *self._book.fatal()]
+            self._send_sightings(relevant, (sender,), now_s)
 
     def tick(self, now_s: float) -> None:
         """Tell of fatal requests again when that is due, and forget what is too old."""
-        if now_s - self._repeated_s >= REPEAT_S:
-            self._repeated_s = now_s
+        if now_s - self._last_repeat_s >= REPEAT_INTERVAL_S:
+            self._last_repeat_s = now_s
             self._book.expire(now_s)
-            self._tell(self._book.fatal()[-REPEATED:], self._neighbours, now_s)
+            self._send_sightings(self._book.fatal()[-MAX_REPEATED:], self._neighbours, now_s)
 
-    def _tell(self, fingerprints: list[Fingerprint], peers: tuple[Peer, ...], now_s: float) -> None:
+    def _send_sightings(
+        self, fingerprints: list[Fingerprint], peers: tuple[Peer, ...], now_s: float
+    ) -> None:
         if fingerprints:
             news = CrashNews(self._book.sightings(fingerprints, now_s))
             for peer in peers:
                 self._outbox.send(peer, news)
 
-    def _note(self, fingerprint: Fingerprint) -> None:
+    def _log_crashes(self, fingerprint: Fingerprint) -> None:
         """Write what is known of a request that several targets ended under."""
         crashes = self._book.crashes(fingerprint)
-        if crashes < TOLD_FROM:
+        if crashes < MIN_LOGGED_CRASHES:
             return
         fatal = crashes >= FATAL_CRASHES
         if fatal:
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/domaingroups.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/domaingroups.py
@@ -23,14 +23,14 @@
     """Return what turns what was told before into what is known now."""
     if before is None or before.counter == NO_EPOCH:
         return GroupsUpdate(domain, NO_EPOCH, now.counter, (), now.groups)
-    old = {row.group: row for row in before.groups}
-    kept = {row.group for row in now.groups}
-    changed = tuple(row for row in now.groups if old.get(row.group) != row)
-    gone = tuple(group for group in old if group not in kept)
-    return GroupsUpdate(domain, before.counter, now.counter, gone, changed)
+    previous_rows = {row.group: row for row in before.groups}
+    current_names = {row.group for row in now.groups}
+    changed = tuple(row for row in now.groups if previous_rows.get(row.group) != row)
+    removed = tuple(group for group in previous_rows if group not in current_names)
+    return GroupsUpdate(domain, before.counter, now.counter, removed, changed)
 
 
-def changed_groups(known: tuple[GroupRow, ...], update: GroupsUpdate) -> tuple[GroupRow, ...]:
+def apply_groups_update(known: tuple[GroupRow, ...], update: GroupsUpdate) -> tuple[GroupRow, ...]:
     """Return the groups after an update that says what changed."""
     rows = {row.group: row for row in known}
     rows.update({row.group: row for row in update.groups})
@@ -45,4 +45,4 @@
     return xxhash.xxh32_intdigest(repr(counters).encode()) or 1
 
 
-__all__ = ["DomainGroups", "changed_groups", "counters_digest", "groups_update"]
+__all__ = ["DomainGroups", "apply_groups_update", "counters_digest", "groups_update"]
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/keyclaims.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/keyclaims.py
@@ -12,7 +12,7 @@
 from ochreway_core.timing import Timing
 from ochreway_nodes.entry.call import Call
 from ochreway_nodes.outbox import Outbox
-from ochreway_nodes.viewspread import ViewSpread
+from ochreway_nodes.viewsync import ViewSync
 
 _REASONS = {
     (ClaimState.TAKEN, Outcome.ANSWERED): Reason.KEY_ANSWERED,
@@ -20,7 +20,7 @@
 }
 
 
-def why_failed(claim: ClaimRound, state: ClaimState) -> Reason:
+def claim_failure_reason(claim: ClaimRound, state: ClaimState) -> Reason:
     """Return why a claim was not won."""
     return _REASONS.get((state, claim.holder_outcome), Reason.KEY_HOMES_UNREACHABLE)
 
@@ -30,12 +30,12 @@
 
     def __init__(
         self,
-        spread: ViewSpread,
+        view_sync: ViewSync,
         timing: Timing,
         address_of: Callable[[NodeId], Peer | None],
         outbox: Outbox,
     ) -> None:
-        self._spread = spread
+        self._view_sync = view_sync
         self._timing = timing
         self._address_of = address_of
         self._outbox = outbox
@@ -44,11 +44,11 @@
         """Claim the call's key under the version in force."""
         request = call.request
         assert request.key is not None
-        sets = self._spread.view.homes(request.key, now_s)
-        call.claim = ClaimRound(sets, now_s + self._timing.claim_timeout_s)
+        home_sets = self._view_sync.view.homes(request.key, now_s)
+        call.claim = ClaimRound(home_sets, now_s + self._timing.claim_timeout_s)
         expires_in_s = request.deadline_s - now_s + self._timing.settle_give_up_s
-        version = self._spread.view.version
-        self._tell_homes(
+        version = self._view_sync.view.version
+        self._send_to_homes(
             call.claim,
             Claim(version, request.key, request.request, expires_in_s, request.key_issued_wall_s),
         )
@@ -57,13 +57,13 @@
         """Tell the homes, if any were asked, how the call ended."""
         request = call.request
         if call.claim is not None and request.key is not None:
-            self._tell_homes(call.claim, ClaimEnd(request.key, request.request, outcome))
+            self._send_to_homes(call.claim, ClaimEnd(request.key, request.request, outcome))
 
-    def _tell_homes(self, claim: ClaimRound, message: object) -> None:
+    def _send_to_homes(self, claim: ClaimRound, message: object) -> None:
         for node in sorted(claim.homes):
             peer = self._address_of(node)
             if peer is not None:
                 self._outbox.send(peer, message)
 
 
-__all__ = ["KeyClaims", "why_failed"]
+__all__ = ["KeyClaims", "claim_failure_reason"]
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/legacy.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/legacy.py
@@ -7,15 +7,15 @@
 from ochreway_routing.replica import ReplicaView
 
 LEGACY_PREFIX = "legacy:"
-SLOTS_ASSUMED = 64
+ASSUMED_SLOTS = 64
 
 
 def legacy_replicas(bundle: Bundle) -> list[ReplicaView]:
     """Return a replica for each target that gets a share of a model's requests."""
-    return [replica for model in bundle.model for replica in _of_model(model)]
+    return [replica for model in bundle.model for replica in _model_replicas(model)]
 
 
-def _of_model(model: Model) -> list[ReplicaView]:
+def _model_replicas(model: Model) -> list[ReplicaView]:
     if model.legacy is None or not model.legacy.share_percent:
         return []
     return [_replica(model, url, model.legacy.share_percent) for url in model.legacy.targets]
@@ -26,7 +26,7 @@
         group=GroupId(f"{LEGACY_PREFIX}{model.name}:{url}"),
         target=model.name,
         leader=Peer(NodeId(LEGACY_PREFIX + url), url),
-        slots=SLOTS_ASSUMED,
+        slots=ASSUMED_SLOTS,
         adapters=frozenset(model.adapters),
         legacy_percent=percent,
     )
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/listing.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/listing.py
@@ -14,7 +14,7 @@
 
 def listing_of(instances: Iterable[ListedInstance]) -> Listing:
     """Return the instances by name."""
-    return {each.node: each for each in instances}
+    return {instance.node: instance for instance in instances}
 
 
 def digest_of(listing: Listing) -> int:
@@ -26,18 +26,18 @@
 
 def difference(known: Listing, now: Listing) -> ListingUpdate:
     """Return what turns one list into the other."""
-    changed = tuple(each for node, each in now.items() if known.get(node) != each)
-    gone = tuple(node for node in known if node not in now)
-    return ListingUpdate(not known, changed, gone)
+    changed = tuple(instance for node, instance in now.items() if known.get(node) != instance)
+    removed = tuple(node for node in known if node not in now)
+    return ListingUpdate(not known, changed, removed)
 
 
-def applied(known: Listing, update: ListingUpdate) -> Listing:
+def apply_listing_update(known: Listing, update: ListingUpdate) -> Listing:
     """Return the list after an update."""
-    kept = {} if update.whole else dict(known)
-    kept.update(listing_of(update.instances))
+    instances_by_node = {} if update.whole else dict(known)
+    instances_by_node.update(listing_of(update.instances))
     for node in update.gone:
-        kept.pop(node, None)
-    return kept
+        instances_by_node.pop(node, None)
+    return instances_by_node
 
 
-__all__ = ["Listing", "applied", "difference", "digest_of", "listing_of"]
+__all__ = ["Listing", "apply_listing_update", "difference", "digest_of", "listing_of"]
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/node.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/node.py
@@ -46,21 +46,21 @@
 from ochreway_core.view import Snapshot, View
 from ochreway_nodes.controller.controller import LEASE_CANDIDATES, Controller
 from ochreway_nodes.controller.repair import REPAIR_POLICIES, RepairTuning
+from ochreway_nodes.drainstate import DrainState
 from ochreway_nodes.entry.calls import Calls
 from ochreway_nodes.entry.crashes import Crashes
 from ochreway_nodes.entry.legacy import legacy_replicas
 from ochreway_nodes.entry.listing import Listing, listing_of
-from ochreway_nodes.entry.spreadtree import PARENTS, parents_of, readers_of, reads_table
+from ochreway_nodes.entry.spreadtree import PARENTS_PER_ENTRY, parents_of, readers_of, reads_table
 from ochreway_nodes.entry.subset import entries_of, followed_groups
 from ochreway_nodes.entry.viewkeeper import ViewKeeper
-from ochreway_nodes.hearddrains import HeardDrains
 from ochreway_nodes.outbox import Outbox
-from ochreway_nodes.viewspread import ViewSpread
+from ochreway_nodes.viewsync import ViewSync
 from ochreway_routing.limits import Limits
 from ochreway_routing.replica import ReplicaView
 from ochreway_routing.router import DEFAULT_POLICY, Router
 
-FOLLOW_S = 5.0
+FOLLOW_INTERVAL_S = 5.0
 
 Handler = Callable[[Peer, Any, float], None]
 
@@ -93,13 +93,13 @@
         self._call = 0
         self._outbox = Outbox()
         self._repair = REPAIR_POLICIES[repair_policy](repair_tuning or RepairTuning())
-        self._follow_s = -1.0e9
+        self._last_follow_s = -1.0e9
         self._other_readers: list[Peer] = []
-        self.spread = ViewSpread(View(operator_keys, timing.key_memory_s), self._outbox)
-        self.drains = HeardDrains(timing.hall_drain_s, now_s)
+        self.view_sync = ViewSync(View(operator_keys, timing.key_memory_s), self._outbox)
+        self.drains = DrainState(timing.hall_drain_s, now_s)
         self._closed_halls: frozenset[HallId] = frozenset()
         self.keeper = ViewKeeper(
-            *(scope, timing, self.spread, self.drains, self._outbox, rng, self._next_call)
+            *(scope, timing, self.view_sync, self.drains, self._outbox, rng, self._next_call)
         )
         self.keeper.follow(list(first_peers))
         self.router = Router(hall, rng, policy=routing_policy)
@@ -109,7 +109,7 @@
             me,
             incarnation,
             timing,
-            self.spread,
+            self.view_sync,
             self.router,
             self.limits,
             self._address_of,
@@ -123,7 +123,7 @@
             ClaimReply: self.calls.on_claim_reply,
             LoadReport: self._on_load_report,
             Report: self._on_report,
-            ViewRequest: self.spread.on_request,
+            ViewRequest: self.view_sync.on_request,
             ViewUpdate: self.keeper.on_view_update,
             ViewDelta: self.keeper.on_view_delta,
             ViewNotice: self.keeper.on_view_notice,
@@ -142,7 +142,7 @@
     @property
     def version(self) -> Version:
         """Return the configuration version in force here."""
-        return self.spread.view.version
+        return self.view_sync.view.version
 
     def take(self) -> list[Effect]:
         """Return the effects asked for since they were last taken."""
@@ -161,13 +161,13 @@
     def on_message(self, sender: Peer, version: Version, message: object, now_s: float) -> None:
         """Handle a message that showed its sender's version."""
         self._close_halls(now_s)
-        self.spread.seen(sender, version, now_s)
+        self.view_sync.on_peer_version(sender, version, now_s)
         handler = self._handlers.get(type(message))
         if handler is None:
             self._outbox.count("message.unexpected")
             return
         handler(sender, message, now_s)
-        self._follow_changes(now_s)
+        self._apply_changes(now_s)
 
     def on_request(self, request: Request, now_s: float) -> None:
         """Begin a request."""
@@ -180,7 +180,7 @@
 
     def on_passed(self, request: RequestId, passed: int) -> None:
         """Note how many bytes of an answer the caller has taken."""
-        self.calls.passed_on(request, passed)
+        self.calls.record_passed(request, passed)
 
     def on_link_down(self, node: NodeId, now_s: float) -> None:
         """Settle what was in flight over a link that is gone."""
@@ -193,67 +193,71 @@
         else:
             for controller in self.controllers.values():
                 controller.on_read(call, reply, now_s)
-        self._follow_changes(now_s)
+        self._apply_changes(now_s)
 
     def on_commit(self, call: int, reply: CommitReply, now_s: float) -> None:
         """Take in what became of a transaction."""
         for controller in self.controllers.values():
             controller.on_commit(call, reply, now_s)
-        self._take_own_groups()
-        self._follow_changes(now_s)
+        self._publish_own_groups()
+        self._apply_changes(now_s)
 
     def on_body(self, bundle: BundleHash, body: bytes | None, now_s: float) -> None:
         """Take in a bundle's body."""
         self.keeper.on_body(bundle, body, now_s)
-        self._follow_changes(now_s)
+        self._apply_changes(now_s)
 
     def on_snapshot(self, snapshot: Snapshot, now_s: float) -> None:
         """Take in a version that an operator's command pushes."""
         self.keeper.apply(snapshot, now_s)
-        self._follow_changes(now_s)
+        self._apply_changes(now_s)
 
     def on_listing(self, instances: Iterable[ListedInstance], now_s: float) -> None:
         """Take in the platform's list."""
         if self.keeper.set_listing(listing_of(instances)):
-            self._follow_listing(now_s)
+            self._apply_listing(now_s)
 
     def _on_listing_update(self, sender: Peer, update: ListingUpdate, now_s: float) -> None:
         if self.keeper.on_listing_update(update):
-            self._follow_listing(now_s)
+            self._apply_listing(now_s)
 
-    def _follow_listing(self, now_s: float) -> None:
+    def _apply_listing(self, now_s: float) -> None:
         entries = entries_of(self.listing)
         self._choose_parents(entries)
-        self._other_readers = self._readers_elsewhere(entries)
+        self._other_readers = self._readers_of_other_halls(entries)
         self._set_controllers(now_s)
         self._configure_limits()
         self._set_replicas()
 
     def _choose_parents(self, entries: list[ListedInstance]) -> None:
-        here = [each.node for each in entries if each.hall == self.hall and not each.leaving]
-        order = rank(f"readers/{self.hall}", here)
+        local_entries = [
+            entry.node for entry in entries if entry.hall == self.hall and not entry.leaving
+        ]
+        order = rank(f"readers/{self.hall}", local_entries)
         self.keeper.reads_table = reads_table(self.me.node, order)
-        chosen = parents_of(self.me.node, order)
-        if not chosen:
-            others = [each.node for each in entries if each.node != self.me.node]
-            chosen = rank(f"parents/{self.me.node}", others)[:PARENTS]
-        peers = [self._address_of(node) for node in chosen]
+        parents = parents_of(self.me.node, order)
+        if not parents:
+            others = [entry.node for entry in entries if entry.node != self.me.node]
+            parents = rank(f"parents/{self.me.node}", others)[:PARENTS_PER_ENTRY]
+        peers = [self._address_of(node) for node in parents]
         self.keeper.follow([peer for peer in peers if peer is not None])
 
-    def _readers_elsewhere(self, entries: list[ListedInstance]) -> list[Peer]:
+    def _readers_of_other_halls(self, entries: list[ListedInstance]) -> list[Peer]:
         """Return the readers of other halls, for a reader; news passes between halls by them."""
         if not self.keeper.reads_table:
             return []
-        halls = sorted({each.hall for each in entries} - {self.hall})
-        found = []
+        halls = sorted({entry.hall for entry in entries} - {self.hall})
+        readers = []
         for hall in halls:
-            there = [each.node for each in entries if each.hall == hall and not each.leaving]
-            found += readers_of(rank(f"readers/{hall}", there))
-        peers = [self._address_of(node) for node in found]
+            hall_entries = [
+                entry.node for entry in entries if entry.hall == hall and not entry.leaving
+            ]
+            readers += readers_of(rank(f"readers/{hall}", hall_entries))
+        peers = [self._address_of(node) for node in readers]
         return [peer for peer in peers if peer is not None]
 
     def _rank(self, domain: DomainId, entries: list[ListedInstance]) -> int:
-        staying = [each.node for each in entries if not each.leaving]
+        staying = [entry.node for entry in entries if not entry.leaving]
         order = rank(f"controller/{domain}", staying)
         return order.index(self.me.node) if self.me.node in order else len(order)
 
@@ -274,10 +278,10 @@
         self.calls.tick(now_s)
         self.crashes.set_neighbours([*self.keeper.neighbours(), *self._other_readers])
         self.crashes.tick(now_s)
-        if now_s - self._follow_s >= FOLLOW_S:
-            self._follow_s = now_s
-            self._follow_leaders()
-        self._follow_changes(now_s)
+        if now_s - self._last_follow_s >= FOLLOW_INTERVAL_S:
+            self._last_follow_s = now_s
+            self._send_follows()
+        self._apply_changes(now_s)
 
     def stop(self, now_s: float) -> None:
         """Begin a planned stop: give leases up; the caller stops new requests."""
@@ -291,12 +295,12 @@
 
     # Changes
 
-    def _follow_changes(self, now_s: float) -> None:
-        if not self.keeper.take_changed():
+    def _apply_changes(self, now_s: float) -> None:
+        if not self.keeper.consume_changed():
             return
         # Leaders hear of the version from these messages at once.
-        self._follow_s = -1.0e9
-        bundle = self.spread.view.bundle
+        self._last_follow_s = -1.0e9
+        bundle = self.view_sync.view.bundle
         self._close_halls(now_s)
         if bundle is not None:
             self._set_controllers(now_s)
@@ -317,15 +321,15 @@
 
     def _set_controllers(self, now_s: float) -> None:
         """Watch the leases of those domains that this entry is a candidate for."""
-        bundle = self.spread.view.bundle
+        bundle = self.view_sync.view.bundle
         if bundle is None:
             return
         entries = entries_of(self.listing)
         domains = {DomainId(name) for name in bundle.domains()} | self.keeper.leases.keys()
         for domain in sorted(domains):
             controller = self.controllers.get(domain)
-            place = self._rank(domain, entries)
-            if controller is None and place >= LEASE_CANDIDATES:
+            candidate_rank = self._rank(domain, entries)
+            if controller is None and candidate_rank >= LEASE_CANDIDATES:
                 continue
             if controller is None:
                 controller = Controller(
@@ -339,12 +343,12 @@
                     now_s,
                 )
                 self.controllers[domain] = controller
-            controller.rank = place
+            controller.rank = candidate_rank
             controller.configure(bundle, self.version)
             controller.on_listing(self.listing)
             controller.set_drained_halls(self.drains.halls, self._closed_halls)
 
-    def _take_own_groups(self) -> None:
+    def _publish_own_groups(self) -> None:
         for domain, controller in self.controllers.items():
             rows = controller.rows
             if controller.holding and rows is not None and rows.lease is not None:
@@ -352,24 +356,24 @@
                 self.keeper.set_groups(domain, rows.lease.counter, groups)
 
     def _configure_limits(self) -> None:
-        bundle = self.spread.view.bundle
-        entries = sum(not each.leaving for each in entries_of(self.listing))
+        bundle = self.view_sync.view.bundle
+        entries = sum(not entry.leaving for entry in entries_of(self.listing))
         if bundle is not None:
             self.limits.configure(bundle.organisation, entries)
 
     def entries(self) -> tuple[NodeId, ...]:
         """Return the entries that are listed, this one too."""
-        listed = (each.node for each in entries_of(self.listing))
+        listed = (entry.node for entry in entries_of(self.listing))
         return tuple(sorted({*listed, self.me.node}))
 
     def _set_replicas(self) -> None:
         rows = followed_groups(self.me.node, self.hall, self.keeper.groups(), self.listing)
-        bundle = self.spread.view.bundle
+        bundle = self.view_sync.view.bundle
         legacy = legacy_replicas(bundle) if bundle else []
         self.router.set_replicas([self._replica(row) for row in rows] + legacy)
 
     def _replica(self, row: GroupRow) -> ReplicaView:
-        bundle = self.spread.view.bundle
+        bundle = self.view_sync.view.bundle
         model = bundle.model_named(row.target) if bundle else None
         listed = self.listing.get(row.leader.node)
         return ReplicaView(
@@ -378,11 +382,11 @@
             leader=row.leader,
             hall=listed.hall if listed else HallId(""),
             slots=row.slots,
-            leaving=any(self._gets_nothing(peer.node) for peer in row.members),
+            leaving=any(self._is_excluded(peer.node) for peer in row.members),
             adapters=frozenset(model.adapters if model else ()),
         )
 
-    def _gets_nothing(self, node: NodeId) -> bool:
+    def _is_excluded(self, node: NodeId) -> bool:
         """Tell whether an instance is leaving, or stands in a hall that gets nothing new.
 
         While a hall gets nothing, one whose hall is not known might stand there.
@@ -392,7 +396,7 @@
             return bool(self._closed_halls)
         return listed.leaving or listed.hall in self._closed_halls
 
-    def _follow_leaders(self) -> None:
+    def _send_follows(self) -> None:
         for group, replica in self.router.replicas.items():
             if not replica.legacy_percent:
                 self._outbox.send(replica.leader, Follow(group))
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/spreadtree.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/spreadtree.py
@@ -8,14 +8,14 @@
 
 from ochreway_core.ids import NodeId
 
-READERS = 2
-PARENTS = 2
+READERS_PER_HALL = 2
+PARENTS_PER_ENTRY = 2
 FAN_OUT = 4
 
 
 def readers_of(order: list[NodeId]) -> list[NodeId]:
     """Return the hall's readers."""
-    return order[:READERS]
+    return order[:READERS_PER_HALL]
 
 
 def reads_table(node: NodeId, order: list[NodeId]) -> bool:
@@ -26,10 +26,17 @@
 def parents_of(node: NodeId, order: list[NodeId]) -> list[NodeId]:
     """Return those that the node follows: none within the hall for a reader."""
     if node not in order or reads_table(node, order):
-        return [other for other in order[:READERS] if other != node]
-    place = order.index(node) - READERS
-    first = place * PARENTS // FAN_OUT
-    return order[first : first + PARENTS]
-
-
-__all__ = ["FAN_OUT", "PARENTS", "READERS", "parents_of", "readers_of", "reads_table"]
+        return [other for other in order[:READERS_PER_HALL] if other != node]
+    position = order.index(node) - READERS_PER_HALL
+    first = position * PARENTS_PER_ENTRY // FAN_OUT
+    return order[first : first + PARENTS_PER_ENTRY]
+
+
+__all__ = [
+    "FAN_OUT",
+    "PARENTS_PER_ENTRY",
+    "READERS_PER_HALL",
+    "parents_of",
+    "readers_of",
+    "reads_table",
+]
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/subset.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/subset.py
@@ -9,7 +9,7 @@
 
 GROUPS_PER_TARGET = 10
 OTHER_HALL_GROUPS = 2
-FOLLOWERS_AT_LEAST = 8
+MIN_FOLLOWERS = 8
 
 
 def followed_groups(
@@ -26,16 +26,18 @@
     by_target: dict[str, list[GroupRow]] = {}
     for row in sorted(groups, key=lambda row: row.group):
         by_target.setdefault(row.target, []).append(row)
-    here = [each.node for each in entries_of(listing) if each.hall == hall and not each.leaving]
-    order = sorted({*here, me})
-    chosen: list[GroupRow] = []
+    local_entries = [
+        entry.node for entry in entries_of(listing) if entry.hall == hall and not entry.leaving
+    ]
+    order = sorted({*local_entries, me})
+    selected: list[GroupRow] = []
     for rows in by_target.values():
-        chosen += _subset(order.index(me), len(order), hall, rows, listing)
-    return chosen
+        selected += _subset(order.index(me), len(order), hall, rows, listing)
+    return selected
 
 
 def _subset(
-    place: int,
+    position: int,
     entries: int,
     hall: HallId,
     rows: list[GroupRow],
@@ -43,22 +45,26 @@
 ) -> list[GroupRow]:
     if len(rows) <= GROUPS_PER_TARGET:
         return rows
-    here = [row for row in rows if _hall_of(row, listing) == hall]
-    away = [row for row in rows if _hall_of(row, listing) != hall]
-    near = [row for index, row in enumerate(here) if follows(place, entries, index, len(here))]
-    wanted = OTHER_HALL_GROUPS if near else GROUPS_PER_TARGET
-    start = place * wanted % max(len(away), 1)
-    return near + (away[start:] + away[:start])[:wanted]
-
-
-def follows(place: int, entries: int, index: int, groups: int) -> bool:
+    local_rows = [row for row in rows if _hall_of(row, listing) == hall]
+    remote_rows = [row for row in rows if _hall_of(row, listing) != hall]
+    followed_rows = [
+        row
+        for index, row in enumerate(local_rows)
+        if follows(position, entries, index, len(local_rows))
+    ]
+    remote_count = OTHER_HALL_GROUPS if followed_rows else GROUPS_PER_TARGET
+    start = position * remote_count % max(len(remote_rows), 1)
+    return followed_rows + (remote_rows[start:] + remote_rows[:start])[:remote_count]
+
+
+def follows(position: int, entries: int, index: int, groups: int) -> bool:
     """Tell whether the entry at a place follows the group at an index.
 
     A group's followers stand one after another in the order of entries, and the groups'
     first followers are spread evenly over it.
     """
-    followers = max(FOLLOWERS_AT_LEAST, -(-GROUPS_PER_TARGET * entries // groups))
-    return (place - index * entries // groups) % entries < followers
+    followers = max(MIN_FOLLOWERS, -(-GROUPS_PER_TARGET * entries // groups))
+    return (position - index * entries // groups) % entries < followers
 
 
 def _hall_of(row: GroupRow, listing: Mapping[NodeId, ListedInstance]) -> str:
@@ -68,7 +74,7 @@
 
 def entries_of(listing: Mapping[NodeId, ListedInstance]) -> list[ListedInstance]:
     """Return the listed entries."""
-    return [each for each in listing.values() if each.kind is InstanceKind.ENTRY]
+    return [instance for instance in listing.values() if instance.kind is InstanceKind.ENTRY]
 
 
 __all__ = ["GROUPS_PER_TARGET", "entries_of", "followed_groups", "follows"]
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/viewkeeper.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/viewkeeper.py
@@ -36,29 +36,29 @@
 from ochreway_core.table import ReadReply, Row
 from ochreway_core.timing import Timing
 from ochreway_core.view import Snapshot, snapshot_of
+from ochreway_nodes.drainstate import DrainState
 from ochreway_nodes.entry.domaingroups import (
     DomainGroups,
-    changed_groups,
+    apply_groups_update,
     counters_digest,
     groups_update,
 )
-from ochreway_nodes.entry.listing import Listing, applied, difference, digest_of
-from ochreway_nodes.hearddrains import HeardDrains
+from ochreway_nodes.entry.listing import Listing, apply_listing_update, difference, digest_of
 from ochreway_nodes.outbox import Outbox
-from ochreway_nodes.viewspread import ViewSpread
+from ochreway_nodes.viewsync import ViewSync
 
 T = TypeVar("T")
 
 BACKOFF_BASE_S = 0.5
-FOLLOW_S = 2.0
-FOLLOW_FOR_S = 7.0
+FOLLOW_INTERVAL_S = 2.0
+FOLLOWER_TIMEOUT_S = 7.0
 
 
 @dataclass(slots=True)
 class _Follower:
     peer: Peer
-    until_s: float
-    told: dict[DomainId, DomainGroups]
+    expires_s: float
+    sent_groups: dict[DomainId, DomainGroups]
     listing: Listing
     listing_digest: int = 0
 
@@ -70,8 +70,8 @@
         self,
         scope: ScopeId,
         timing: Timing,
-        spread: ViewSpread,
-        drains: HeardDrains,
+        view_sync: ViewSync,
+        drains: DrainState,
         outbox: Outbox,
         rng: random.Random,
         next_call: Callable[[], int],
@@ -82,24 +82,24 @@
         self.reads_table = True
         self._scope = scope
         self._timing = timing
-        self._spread = spread
+        self._view_sync = view_sync
         self._drains = drains
         self._outbox = outbox
         self._backoff = Backoff(BACKOFF_BASE_S, timing.backoff_max_s, rng)
         self._next_call = next_call
         self._call: int | None = None
-        self._sent_s = -1.0e9
+        self._read_sent_s = -1.0e9
         self._not_before_s = -1.0e9
-        self._polled_s = -1.0e9
-        self._leases_s = -1.0e9
-        self._followed_s = -1.0e9
-        self._wanted: RollRow | None = None
-        self._body: bytes | None = None
-        self._approvals: tuple[Approval, ...] = ()
+        self._last_poll_s = -1.0e9
+        self._last_lease_poll_s = -1.0e9
+        self._last_follow_s = -1.0e9
+        self._pending_roll: RollRow | None = None
+        self._pending_body: bytes | None = None
+        self._pending_approvals: tuple[Approval, ...] = ()
         self._failing = False
         self._followers: dict[NodeId, _Follower] = {}
         self._changed = False
-        self._asked: frozenset[DomainId] = frozenset()
+        self._requested_domains: frozenset[DomainId] = frozenset()
         self.listing: Listing = {}
         self._listing_digest = 0
 
@@ -118,37 +118,39 @@
 
     def on_listing_update(self, update: ListingUpdate) -> bool:
         """Take a change of the list from another entry."""
-        return not self.reads_table and self.set_listing(applied(self.listing, update))
+        return not self.reads_table and self.set_listing(apply_listing_update(self.listing, update))
 
-    def take_changed(self) -> bool:
+    def consume_changed(self) -> bool:
         """Return whether the groups or the version changed since last asked."""
         changed, self._changed = self._changed, False
         return changed
 
     def groups(self) -> list[GroupRow]:
         """Return every known group."""
-        return [row for each in self.domains.values() for row in each.groups]
+        return [row for domain_groups in self.domains.values() for row in domain_groups.groups]
 
     # Reading the table
 
     def tick(self, now_s: float) -> None:
         """Poll or follow when due."""
-        if self._call is not None and now_s - self._sent_s > self._timing.table_timeout_s:
-            self._failed(now_s)
+        if self._call is not None and now_s - self._read_sent_s > self._timing.table_timeout_s:
+            self._on_read_failed(now_s)
         if self._may_poll(now_s):
             self._poll(now_s)
-        if now_s - self._followed_s >= FOLLOW_S and (self._failing or not self.reads_table):
-            self._followed_s = now_s
+        if now_s - self._last_follow_s >= FOLLOW_INTERVAL_S and (
+            self._failing or not self.reads_table
+        ):
+            self._last_follow_s = now_s
             for parent in self.parents:
                 self._outbox.send(parent, FollowView(self._digest(), self._listing_digest))
-        self._tell_followers(now_s)
+        self._update_followers(now_s)
 
     def _poll(self, now_s: float) -> None:
         """Read the head, and now and then the leases, whose counters tell of changed groups."""
         prefixes = [head_key(self._scope), halls_key(self._scope)]
-        self._polled_s = now_s
-        if now_s - self._leases_s >= self._timing.lease_poll_s:
-            self._leases_s = now_s
+        self._last_poll_s = now_s
+        if now_s - self._last_lease_poll_s >= self._timing.lease_poll_s:
+            self._last_lease_poll_s = now_s
             prefixes.append("controller/")
         self._read(tuple(prefixes), now_s)
 
@@ -156,59 +158,59 @@
         """Follow these entries from now on."""
         if parents != self.parents:
             self.parents = parents
-            self._followed_s = -1.0e9
+            self._last_follow_s = -1.0e9
 
     def neighbours(self) -> list[Peer]:
         """Return the entries that this one follows, and those that follow it."""
-        return [*self.parents, *(each.peer for each in self._followers.values())]
+        return [*self.parents, *(item.peer for item in self._followers.values())]
 
     def _may_poll(self, now_s: float) -> bool:
         may_read = self.reads_table and self._call is None and now_s >= self._not_before_s
-        return may_read and now_s - self._polled_s >= self._timing.view_poll_s
+        return may_read and now_s - self._last_poll_s >= self._timing.view_poll_s
 
     def _read(self, prefixes: tuple[str, ...], now_s: float) -> None:
         self._call = self._next_call()
-        self._sent_s = now_s
+        self._read_sent_s = now_s
         self._outbox.add(TableRead(TableUse.VIEW, self._call, prefixes))
 
-    def _failed(self, now_s: float) -> None:
+    def _on_read_failed(self, now_s: float) -> None:
         self._call = None
         # The next answer holds other rows: it must not be taken for that of these groups.
-        self._asked = frozenset()
+        self._requested_domains = frozenset()
         self._failing = True
         self._outbox.count("view.table_failed")
         self._not_before_s = now_s + self._backoff.failed()
 
-    def poke(self) -> None:
+    def poll_soon(self) -> None:
         """Read at once: someone says that there is something new."""
-        self._polled_s = -1.0e9
-        self._leases_s = -1.0e9
+        self._last_poll_s = -1.0e9
+        self._last_lease_poll_s = -1.0e9
 
     def on_read(self, call: int, reply: ReadReply, now_s: float) -> None:
         """Take in an answer of the table."""
         if call != self._call:
             return
         if reply.rows is None:
-            self._failed(now_s)
+            self._on_read_failed(now_s)
             return
         self._call = None
         self._failing = False
         self._backoff.succeeded()
-        self._take_halls(reply.rows, now_s)
-        self._take_head(reply.rows, now_s)
-        self._take_domains(reply.rows, now_s)
-        self._take_approvals(reply.rows, now_s)
+        self._apply_halls_row(reply.rows, now_s)
+        self._apply_head(reply.rows, now_s)
+        self._apply_domains(reply.rows, now_s)
+        self._apply_approvals(reply.rows, now_s)
 
-    def _take_halls(self, rows: Mapping[str, Row], now_s: float) -> None:
+    def _apply_halls_row(self, rows: Mapping[str, Row], now_s: float) -> None:
         row = rows.get(halls_key(self._scope))
         if row is not None:
-            self._take_drained(decode(HallsRow, row.content).drained, now_s)
+            self._apply_drained_halls(decode(HallsRow, row.content).drained, now_s)
         elif head_key(self._scope) in rows:
-            self._drains.read_none()
+            self._drains.record_no_drains()
 
-    def _take_drained(self, drained: DrainedHalls, now_s: float) -> None:
+    def _apply_drained_halls(self, drained: DrainedHalls, now_s: float) -> None:
         """Take drained halls that are newer than what is known, and pass them on."""
-        if not self._drains.take(drained, now_s):
+        if not self._drains.apply_reading(drained, now_s):
             return
         self._changed = True
         self._outbox.count("halls.drained_changed")
@@ -217,41 +219,43 @@
         for follower in self._followers.values():
             self._outbox.send(follower.peer, HallsUpdate(drained))
 
-    def _take_head(self, rows: Mapping[str, Row], now_s: float) -> None:
+    def _apply_head(self, rows: Mapping[str, Row], now_s: float) -> None:
         head = rows.get(head_key(self._scope))
         if head is None:
             return
         roll = decode(RollRow, head.content)
-        if roll.version <= self._spread.view.version:
+        if roll.version <= self._view_sync.view.version:
             return
-        if self._wanted is None or roll.version > self._wanted.version:
-            self._wanted, self._body, self._approvals = roll, None, ()
-        if self._body is None:
-            self._outbox.add(FetchBody(self._wanted.bundle))
+        if self._pending_roll is None or roll.version > self._pending_roll.version:
+            self._pending_roll, self._pending_body, self._pending_approvals = roll, None, ()
+        if self._pending_body is None:
+            self._outbox.add(FetchBody(self._pending_roll.bundle))
 
-    def _take_domains(self, rows: Mapping[str, Row], now_s: float) -> None:
+    def _apply_domains(self, rows: Mapping[str, Row], now_s: float) -> None:
         leases = {
             DomainId(key.removeprefix("controller/")): decode(LeaseRow, row.content)
             for key, row in rows.items()
             if key.startswith("controller/")
         }
         self.leases.update(leases)
-        for domain in sorted(self._asked & leases.keys()):
+        for domain in sorted(self._requested_domains & leases.keys()):
             prefix = group_key(domain, "")
-            groups = _decoded(GroupRow, rows, prefix)
+            groups = _decode_rows(GroupRow, rows, prefix)
             self.set_groups(domain, leases[domain].counter, groups)
-        self._asked = frozenset(
+        self._requested_domains = frozenset(
             domain
             for domain, lease in leases.items()
             if domain not in self.domains or self.domains[domain].counter < lease.counter
         )
-        wanted = [
-            key for each in sorted(self._asked) for key in (lease_key(each), group_key(each, ""))
+        wanted_keys = [
+            key
+            for requested in sorted(self._requested_domains)
+            for key in (lease_key(requested), group_key(requested, ""))
         ]
-        if self._wanted is not None and not self._approvals:
-            wanted.append(approval_key(self._wanted.bundle))
-        if wanted:
-            self._read(tuple(wanted), now_s)
+        if self._pending_roll is not None and not self._pending_approvals:
+            wanted_keys.append(approval_key(self._pending_roll.bundle))
+        if wanted_keys:
+            self._read(tuple(wanted_keys), now_s)
 
     def set_groups(self, domain: DomainId, counter: Epoch, groups: tuple[GroupRow, ...]) -> None:
         """Take a domain's groups unless newer ones are known."""
@@ -262,30 +266,30 @@
             self.domains[domain] = DomainGroups(counter, groups)
             self._changed = True
 
-    def _take_approvals(self, rows: Mapping[str, Row], now_s: float) -> None:
-        if self._wanted is None:
+    def _apply_approvals(self, rows: Mapping[str, Row], now_s: float) -> None:
+        if self._pending_roll is None:
             return
-        prefix = approval_key(self._wanted.bundle)
-        self._approvals = _decoded(Approval, rows, prefix) or self._approvals
+        prefix = approval_key(self._pending_roll.bundle)
+        self._pending_approvals = _decode_rows(Approval, rows, prefix) or self._pending_approvals
         self._try_apply(now_s)
 
     def on_body(self, bundle: BundleHash, body: bytes | None, now_s: float) -> None:
         """Take in a bundle's body from the object store."""
-        if self._wanted is None or bundle != self._wanted.bundle or body is None:
+        if self._pending_roll is None or bundle != self._pending_roll.bundle or body is None:
             return
-        self._body = body
+        self._pending_body = body
         self._try_apply(now_s)
 
     def _try_apply(self, now_s: float) -> None:
-        if self._wanted is None or self._body is None or not self._approvals:
+        if self._pending_roll is None or self._pending_body is None or not self._pending_approvals:
             return
-        snapshot = snapshot_of(self._wanted, self._body, self._approvals)
-        self._wanted, self._body, self._approvals = None, None, ()
+        snapshot = snapshot_of(self._pending_roll, self._pending_body, self._pending_approvals)
+        self._pending_roll, self._pending_body, self._pending_approvals = None, None, ()
         self.apply(snapshot, now_s)
 
     def apply(self, snapshot: Snapshot, now_s: float) -> bool:
         """Put a version in force if it is newer and signed off."""
-        applied = self._spread.apply(snapshot, now_s)
+        applied = self._view_sync.apply(snapshot, now_s)
         self._changed = self._changed or applied
         if applied:
             for follower in self._followers.values():
@@ -296,7 +300,7 @@
 
     def on_view_delta(self, sender: Peer, message: ViewDelta, now_s: float) -> None:
         """Take in a version as a difference from one that is known here."""
-        snapshot = self._spread.snapshot_from(message)
+        snapshot = self._view_sync.snapshot_from(message)
         if snapshot is not None:
             self.apply(snapshot, now_s)
 
@@ -309,22 +313,22 @@
 
     def on_halls_update(self, sender: Peer, update: HallsUpdate, now_s: float) -> None:
         """Take in the drained halls from another entry."""
-        self._take_drained(update.drained, now_s)
+        self._apply_drained_halls(update.drained, now_s)
 
     def on_follow_view(self, sender: Peer, message: FollowView, now_s: float) -> None:
         """Count an entry among the followers for a while."""
         follower = self._followers.get(sender.node)
-        if follower is None or follower.until_s < now_s:
+        if follower is None or follower.expires_s < now_s:
             follower = _Follower(sender, 0.0, {}, {})
             self._followers[sender.node] = follower
-        follower.until_s = now_s + FOLLOW_FOR_S
+        follower.expires_s = now_s + FOLLOWER_TIMEOUT_S
         if self._drains.newest.version:
             self._outbox.send(sender, HallsUpdate(self._drains.newest))
-        if message.digest != counters_digest(follower.told):
-            follower.told = {}
+        if message.digest != counters_digest(follower.sent_groups):
+            follower.sent_groups = {}
         if message.listing != follower.listing_digest:
             follower.listing = {}
-        self._tell(follower)
+        self._send_updates(follower)
 
     def on_groups_update(self, sender: Peer, update: GroupsUpdate, now_s: float) -> None:
         """Take in a domain's groups from another entry."""
@@ -332,32 +336,34 @@
         if not update.base:
             self.set_groups(update.domain, update.counter, update.groups)
         elif known is not None and known.counter == update.base:
-            self.set_groups(update.domain, update.counter, changed_groups(known.groups, update))
+            self.set_groups(
+                update.domain, update.counter, apply_groups_update(known.groups, update)
+            )
 
-    def _tell_followers(self, now_s: float) -> None:
+    def _update_followers(self, now_s: float) -> None:
         for node, follower in list(self._followers.items()):
-            if follower.until_s < now_s:
+            if follower.expires_s < now_s:
                 del self._followers[node]
             else:
-                self._tell(follower)
+                self._send_updates(follower)
 
-    def _tell(self, follower: _Follower) -> None:
+    def _send_updates(self, follower: _Follower) -> None:
         if follower.listing is not self.listing:
             update = difference(follower.listing, self.listing)
             follower.listing = self.listing
             follower.listing_digest = self._listing_digest
             self._outbox.send(follower.peer, update)
         for domain, known in self.domains.items():
-            if follower.told.get(domain) is not known:
-                before = follower.told.get(domain)
-                follower.told[domain] = known
+            if follower.sent_groups.get(domain) is not known:
+                before = follower.sent_groups.get(domain)
+                follower.sent_groups[domain] = known
                 self._outbox.send(follower.peer, groups_update(domain, before, known))
 
     def _digest(self) -> int:
         return counters_digest(self.domains)
 
 
-def _decoded(kind: type[T], rows: Mapping[str, Row], prefix: str) -> tuple[T, ...]:
+def _decode_rows(kind: type[T], rows: Mapping[str, Row], prefix: str) -> tuple[T, ...]:
     return tuple(decode(kind, row.content) for key, row in rows.items() if key.startswith(prefix))
 
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/outbox.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/outbox.py
@@ -29,8 +29,8 @@
 
     def take(self) -> list[Effect]:
         """Return the effects and forget them."""
-        taken, self._effects = self._effects, []
-        return taken
+        pending, self._effects = self._effects, []
+        return pending
 
 
 __all__ = ["Outbox"]
--- a/packages/ochreway-nodes/src/ochreway_nodes/viewspread.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/viewsync.py
@@ -10,10 +10,10 @@
 from ochreway_core.view import BODY_BYTES_AT_MOST, Snapshot, View, snapshot_of
 from ochreway_nodes.outbox import Outbox
 
-ASK_AGAIN_S = 0.3
+REQUEST_RETRY_DELAY_S = 0.3
 
 
-class ViewSpread:
+class ViewSync:
     """Ask whoever shows a newer version, one at a time, and answer those who ask.
 
     Nobody is sent a version unasked: a process hears of it from many at once, and the body
@@ -23,18 +23,18 @@
     def __init__(self, view: View, outbox: Outbox) -> None:
         self.view = view
         self._outbox = outbox
-        self._shown: dict[NodeId, Version] = {}
-        self._asked_s = -1.0e9
+        self._peer_versions: dict[NodeId, Version] = {}
+        self._last_request_s = -1.0e9
 
-    def seen(self, sender: Peer, version: Version, now_s: float) -> None:
+    def on_peer_version(self, sender: Peer, version: Version, now_s: float) -> None:
         """Compare the version that a message carried with the one in force here."""
-        self._shown[sender.node] = version
+        self._peer_versions[sender.node] = version
         if version > self.view.version:
-            self._ask(sender, now_s)
+            self._request_view(sender, now_s)
 
-    def shown_by(self, node: NodeId) -> Version:
+    def version_of(self, node: NodeId) -> Version:
         """Return the version that the node's last message carried."""
-        return self._shown.get(node, Version(0))
+        return self._peer_versions.get(node, Version(0))
 
     def on_request(self, sender: Peer, request: ViewRequest, now_s: float) -> None:
         """Send the version in force, as a difference where the asker has what it is from."""
@@ -78,12 +78,12 @@
             self._outbox.log("configuration_applied", version=self.view.version)
         return result.unwrap()
 
-    def _ask(self, sender: Peer, now_s: float) -> None:
-        if now_s - self._asked_s >= ASK_AGAIN_S:
-            self._asked_s = now_s
+    def _request_view(self, sender: Peer, now_s: float) -> None:
+        if now_s - self._last_request_s >= REQUEST_RETRY_DELAY_S:
+            self._last_request_s = now_s
             snapshot = self.view.snapshot
             have = snapshot.roll.bundle if snapshot else BundleHash("")
             self._outbox.send(sender, ViewRequest(have))
 
 
-__all__ = ["ViewSpread"]
+__all__ = ["ViewSync"]
--- a/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
@@ -31,9 +31,9 @@
 from ochreway_nodes.agent.membership import Membership
 from ochreway_nodes.agent.serving import Serving
 from ochreway_nodes.controller.rowwrites import RowWrites
+from ochreway_nodes.drainstate import DrainState
 from ochreway_nodes.entry import EntryNode
 from ochreway_nodes.entry.call import Call
-from ochreway_nodes.hearddrains import HeardDrains
 from ochreway_routing.crashbook import CrashBook
 from ochreway_routing.crashverdict import INNOCENT
 from ochreway_standins.soak.run import Run
@@ -206,7 +206,7 @@
 @guard("drained_halls", ("drained_quiet",), ("drain_hall",))
 def _drained_halls() -> contextlib.AbstractContextManager[Any]:
     none = property(lambda drains: frozenset())
-    return mock.patch.multiple(HeardDrains, halls=none, closed=lambda drains, now_s: frozenset())
+    return mock.patch.multiple(DrainState, halls=none, closed=lambda drains, now_s: frozenset())
 
 
 @guard("fatal_requests", ("fatal_quiet",), ("fatal_request",), 1)
--- a/tests/nodes/test_subset.py
+++ b/tests/nodes/test_subset.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ochreway_nodes.entry.subset import FOLLOWERS_AT_LEAST, GROUPS_PER_TARGET, follows
+from ochreway_nodes.entry.subset import GROUPS_PER_TARGET, MIN_FOLLOWERS, follows
 
 
 class SubsetTests(testtools.TestCase):
@@ -12,19 +12,19 @@
         self, entries: int, groups: int
     ) -> None:
         counts = [
-            [follows(place, entries, index, groups) for index in range(groups)]
-            for place in range(entries)
+            [follows(position, entries, index, groups) for index in range(groups)]
+            for position in range(entries)
         ]
         by_group = {sum(column) for column in zip(*counts, strict=True)}
         self.assertEqual(1, len(by_group))
-        self.assertGreaterEqual(by_group.pop(), min(entries, FOLLOWERS_AT_LEAST))
+        self.assertGreaterEqual(by_group.pop(), min(entries, MIN_FOLLOWERS))
         by_entry = [sum(row) for row in counts]
         self.assertGreaterEqual(min(by_entry), min(GROUPS_PER_TARGET, groups) - 2)
 
-    def test_size_to_design_for(self) -> None:
+    def test_entries_follow_about_ten_groups_at_the_design_size(self) -> None:
         entries, groups = 157, 75
         counts = [
-            sum(follows(place, entries, index, groups) for index in range(groups))
-            for place in range(entries)
+            sum(follows(position, entries, index, groups) for index in range(groups))
+            for position in range(entries)
         ]
         self.assertTrue(9 <= min(counts) <= max(counts) <= 12)
--- a/tests/nodes/test_viewkeeper.py
+++ b/tests/nodes/test_viewkeeper.py
@@ -12,10 +12,10 @@
 from ochreway_core.table import ReadReply, Row
 from ochreway_core.timing import Timing
 from ochreway_core.view import View
+from ochreway_nodes.drainstate import DrainState
 from ochreway_nodes.entry.viewkeeper import ViewKeeper
-from ochreway_nodes.hearddrains import HeardDrains
 from ochreway_nodes.outbox import Outbox
-from ochreway_nodes.viewspread import ViewSpread
+from ochreway_nodes.viewsync import ViewSync
 from tests.nodes.leadercase import DOMAIN, row
 
 COUNTER = Epoch(7)
@@ -26,22 +26,22 @@
         super().setUp()
         self.timing = Timing()
         self.outbox = Outbox()
-        spread = ViewSpread(View({}, 60.0), self.outbox)
+        view_sync = ViewSync(View({}, 60.0), self.outbox)
         calls = iter(range(1, 100))
         self.keeper = ViewKeeper(
-            *(ScopeId("main"), self.timing, spread, HeardDrains(5.0, 0.0), self.outbox),
+            *(ScopeId("main"), self.timing, view_sync, DrainState(5.0, 0.0), self.outbox),
             *(random.Random(1), lambda: next(calls)),
         )
 
-    def reading(self, now_s: float) -> TableRead:
+    def next_read(self, now_s: float) -> TableRead:
         self.keeper.tick(now_s)
-        (found,) = [each for each in self.outbox.take() if isinstance(each, TableRead)]
-        return found
+        (table_read,) = [effect for effect in self.outbox.take() if isinstance(effect, TableRead)]
+        return table_read
 
     def answer(self, read: TableRead, rows: dict[str, Row], now_s: float) -> list[TableRead]:
-        shown = {k: v for k, v in rows.items() if k.startswith(read.prefixes)}
-        self.keeper.on_read(read.call, ReadReply(shown), now_s)
-        return [each for each in self.outbox.take() if isinstance(each, TableRead)]
+        matching = {k: v for k, v in rows.items() if k.startswith(read.prefixes)}
+        self.keeper.on_read(read.call, ReadReply(matching), now_s)
+        return [effect for effect in self.outbox.take() if isinstance(effect, TableRead)]
 
     def rows(self) -> dict[str, Row]:
         group: GroupRow = row("abc")
@@ -54,15 +54,15 @@
     def lease(self) -> LeaseRow:
         return LeaseRow(holder=NodeId("e"), term=1, beat=1, counter=COUNTER)  # type: ignore[arg-type]
 
-    def test_the_answer_after_a_lost_one_is_not_taken_for_it(self) -> None:
+    def test_the_reply_after_a_lost_one_is_not_mistaken_for_it(self) -> None:
         rows = self.rows()
-        (asked,) = self.answer(self.reading(100.0), rows, 100.0)
-        self.assertIn(group_key(DOMAIN, ""), asked.prefixes)
+        (group_read,) = self.answer(self.next_read(100.0), rows, 100.0)
+        self.assertIn(group_key(DOMAIN, ""), group_read.prefixes)
         self.keeper.tick(101.0 + self.timing.table_timeout_s)
         self.outbox.take()
         later_s = 200.0
-        again = self.answer(self.reading(later_s), rows, later_s)
+        repeated_reads = self.answer(self.next_read(later_s), rows, later_s)
         self.assertEqual([], self.keeper.groups())
-        (asked_again,) = again
-        self.answer(asked_again, rows, later_s)
-        self.assertEqual(["g"], [each.group for each in self.keeper.groups()])
+        (repeated_read,) = repeated_reads
+        self.answer(repeated_read, rows, later_s)
+        self.assertEqual(["g"], [known.group for known in self.keeper.groups()])
