--- a/packages/ochreway-nodes/src/ochreway_nodes/__init__.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Entry, agent and controller as nodes without input or output."""
+"""The entry, agent and controller as state machines that do no I/O themselves."""
--- a/packages/ochreway-nodes/src/ochreway_nodes/drainstate.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/drainstate.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which halls are drained, and from when on nothing new is sent there."""
+"""The drained halls, and from when on nothing new is sent to each of them."""
 
 from ochreway_core.drainedhalls import UNREAD_HALLS, DrainedHalls
 from ochreway_core.ids import HallId
@@ -8,16 +8,16 @@
 
 
 class DrainState:
-    """Hold the newest reading of the drained halls, and until when each may serve on.
+    """The newest reading of the drained halls, and until when each hall may keep serving.
 
-    A reading is the set of drained halls at one version, read from the table or heard from others.
-    The time of a hall counts from when this entry heard of its drain; ``HallDrains`` of direct
-    entries counts it from when the platform may have taken the drain. A reading heard soon after
-    the start may be old already; its halls have no time left.
+    A reading is the set of drained halls at one version, from the table or from another entry. A
+    hall's grace period starts when this entry learns of its drain; direct entries start it when the
+    platform may have accepted the drain. A reading received soon after the start may be old
+    already, so its halls get no grace period.
     """
 
     def __init__(self, grace_s: float, now_s: float) -> None:
-        """Start without a reading; a hall serves on for so long after its drain was heard of."""
+        """Start without a reading; ``grace_s`` is how long a drained hall may keep serving."""
         self.newest = UNREAD_HALLS
         self._grace_s = grace_s
         self._stale_until_s = now_s + grace_s
@@ -25,19 +25,19 @@
 
     @property
     def halls(self) -> frozenset[HallId]:
-        """Return the halls that nothing new is planned for."""
+        """The drained halls, whose instances join no group any more."""
         return frozenset(self.newest.halls)
 
     def closed(self, now_s: float) -> frozenset[HallId]:
-        """Return the halls that get nothing new."""
+        """Return the halls whose grace period is over; no new requests are sent there."""
         return frozenset(hall for hall, close_s in self._close_s.items() if now_s >= close_s)
 
     def record_no_drains(self) -> None:
-        """Note that the table was read and no hall was ever drained."""
+        """Record that the table was read and holds no drained halls, so later readings are new."""
         self._stale_until_s = NEVER_S
 
     def apply_reading(self, reading: DrainedHalls, now_s: float) -> bool:
-        """Take a reading that is newer than what is known; return whether it was."""
+        """Apply a reading if it is newer than the current one; return whether it was."""
         if not reading.newer_than(self.newest):
             return False
         may_be_stale = now_s < self._stale_until_s
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/__init__.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The entry: callers' requests in, answers out."""
+"""The entry, which routes callers' requests and returns the answers."""
 
 from ochreway_nodes.entry.node import EntryNode
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/call.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/call.py
@@ -13,7 +13,7 @@
 
 
 class CallState(Enum):
-    """Say what a call waits for."""
+    """What a call is waiting for."""
 
     CLAIMING = "claiming"
     RUNNING = "running"
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """Hold the attempt that a call waits for."""
+    """The attempt in progress of a call, with the times of its last events."""
 
     attempt: AttemptId
     group: GroupId
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """Hold a request, what has been tried and what it waits for."""
+    """A request in progress, with its attempts so far and what it is waiting for."""
 
     request: Request
     state: CallState
@@ -53,12 +53,12 @@
 
     @property
     def streamed(self) -> bool:
-        """Tell whether any of the answer has been passed on."""
+        """Whether any part of the answer has been delivered to the caller."""
         return self.attempt is not None and self.attempt.answer.received > 0
 
     @property
     def tokens(self) -> int:
-        """Return the tokens that the request counts for."""
+        """The tokens that the request counts for in limits."""
         return self.request.prompt_tokens + self.request.max_tokens
 
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/calls.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/calls.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An entry's requests in progress: claim, route, settle, retry, answer."""
+"""An entry's requests in progress: claiming keys, routing, settling, retrying and answering."""
 
 from collections.abc import Callable
 
@@ -37,7 +37,9 @@
 from ochreway_routing.router import Router
 
 CREDIT_INTERVAL_BYTES = 16 * 1024
+"""Answer bytes received by the caller between two credits to the agent."""
 SHORT_RETRY_AFTER_S = 1.0
+"""Retry-after time where neither agent nor router gives one."""
 
 _BENIGN_REASONS = frozenset(
     {
@@ -53,10 +55,11 @@
         Reason.CALLER_GONE,
     }
 )
+"""Reasons of a failed attempt that are not a fault of the group and do not count against it."""
 
 
 class Calls:
-    """See each request through to exactly one of the closed outcomes."""
+    """Bring each request to exactly one final outcome."""
 
     def __init__(
         self,
@@ -93,7 +96,7 @@
         call = Call(request, CallState.CLAIMING, fingerprint=_fingerprint(request))
         fatal_s = self._fatal_wait_s(call, now_s)
         if fatal_s > 0.0:
-            # Before any limit: what is never sent takes nobody's share.
+            # Checked before any limit, as a request that is never sent must not use up a share.
             self._finish_refused(request, Reason.ENDS_TARGETS, fatal_s)
             return
         admitted = self._limits.admit(request.organisation, call.tokens, now_s)
@@ -108,7 +111,7 @@
             self._route(call, now_s)
 
     def _fatal_wait_s(self, call: Call, now_s: float) -> float:
-        """Return for how long a call must not be sent; one on trial is sent once."""
+        """Return how long a call must not be sent, as it is fatal; a call on trial is sent once."""
         if call.on_trial and not call.attempts:
             return 0.0
         verdict = self._crashes.check_request(call.fingerprint, now_s)
@@ -127,7 +130,7 @@
         self._check_claim(call, now_s)
 
     def on_claim_reply(self, sender: Peer, reply: ClaimReply, now_s: float) -> None:
-        """Count a home's vote."""
+        """Record a key home's vote."""
         call = self._calls.get(reply.request)
         if call is None or call.claim is None or call.state is not CallState.CLAIMING:
             return
@@ -145,11 +148,11 @@
 
     def _fail_claim(self, call: Call, reason: Reason) -> None:
         self._keys.end(call, Outcome.NOT_RUN)
-        # Another request under the key may have run, so this is not "not run".
+        # Another request with the same key may have run, so the outcome is unknown.
         self._finish(call, Outcome.UNKNOWN, reason, SHORT_RETRY_AFTER_S)
 
     def on_view_changed(self, now_s: float) -> None:
-        """Claim anew under the version that has come into force."""
+        """Restart pending claims under the new version."""
         for call in [item for item in self._calls.values() if item.state is CallState.CLAIMING]:
             self._claim(call, now_s)
 
@@ -218,7 +221,7 @@
     # Answers
 
     def on_frame(self, sender: Peer, frame: Frame, now_s: float) -> None:
-        """Pass on what is new of an answer."""
+        """Deliver the new part of an answer to the caller."""
         call = self._by_attempt.get(frame.attempt)
         if call is None or call.attempt is None or call.attempt.attempt != frame.attempt:
             self._outbox.count("frame.late")
@@ -240,7 +243,7 @@
         )
 
     def record_passed(self, request: RequestId, passed: int) -> None:
-        """Note how much of an answer the caller has taken, and credit its agent."""
+        """Record how much of an answer the caller has received, and credit the agent."""
         call = self._calls.get(request)
         if call is None or call.attempt is None:
             return
@@ -263,13 +266,13 @@
         self._end(call, outcome, Reason.NONE if complete else Reason.ANSWER_SHORT, 0.0)
 
     def on_refusal(self, sender: Peer, refusal: Refusal, now_s: float) -> None:
-        """Retry or end an attempt that its agent ended."""
+        """Retry or end a call whose attempt the agent refused or ended."""
         self._attempt_ended(
             refusal.attempt, refusal.outcome, refusal.reason, refusal.retry_after_s, now_s
         )
 
     def on_settled(self, sender: Peer, settled: Settled, now_s: float) -> None:
-        """Retry or end an attempt that its agent knows to have ended."""
+        """Retry or end a call by the agent's reply on how its attempt ended."""
         self._attempt_ended(
             settled.attempt, settled.outcome, settled.reason, SHORT_RETRY_AFTER_S, now_s
         )
@@ -318,7 +321,7 @@
     # Loss
 
     def on_link_down(self, node: NodeId, now_s: float) -> None:
-        """Settle the attempts that were sent over a link that is gone."""
+        """Settle the attempts that were sent over a lost link."""
         for call in list(self._by_attempt.values()):
             if call.attempt is not None and call.attempt.peer.node == node:
                 self._on_attempt_lost(call, call.attempt, now_s)
@@ -341,7 +344,7 @@
         self._outbox.send(attempt.peer, message)
 
     def cancel(self, request: RequestId) -> None:
-        """End a request whose caller has gone."""
+        """End a request whose caller is gone."""
         call = self._calls.get(request)
         if call is not None:
             self._cancel_attempt(call)
@@ -352,7 +355,7 @@
             self._outbox.send(call.attempt.peer, Cancel(call.attempt.attempt))
 
     def tick(self, now_s: float) -> None:
-        """End what has run out of time and ask again where answers are due."""
+        """End calls past their deadline, and run the periodic work of the others."""
         for call in list(self._calls.values()):
             if now_s >= call.request.deadline_s:
                 self._expire(call)
@@ -369,7 +372,7 @@
             self._fail_claim(call, claim_failure_reason(call.claim, call.claim.state_at_last()))
 
     def _tick_running(self, call: Call, now_s: float) -> None:
-        """Take a leader that has fallen silent for one whose link is gone."""
+        """Treat a leader that has been silent for too long as if its link were lost."""
         attempt = call.attempt
         replica = self._router.replicas.get(attempt.group) if attempt else None
         if attempt is None or replica is None or replica.legacy_percent:
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/crashes.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/crashes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The requests under which targets ended, as one entry knows them and tells others."""
+"""Requests that crashed targets, as one entry knows them and propagates them to others."""
 
 from collections.abc import Iterable
 
@@ -12,21 +12,21 @@
 from ochreway_routing.crashverdict import CrashVerdict
 
 REPEAT_INTERVAL_S = 2.0
-"""How often fatal requests are told again, should a word of them have been lost."""
+"""Interval at which fatal requests are sent again, in case a message was lost."""
 MAX_REPEATED = 4
-"""How many of them are told each time, those first that were asked for last."""
+"""Bound on the fatal requests sent each time; the most recently requested ones are sent."""
 SUSPECTS_MAX_AGE_S = 30.0
-"""How old the suspects are at most that an entry is told of when it asks for all."""
+"""Maximum age of the suspects sent to an entry that asks for everything known."""
 MIN_LOGGED_CRASHES = 2
-"""From how many crashes on a line is written: after one all callers of a target are suspects."""
+"""Crashes from which a request is logged: after one, all requests on the target are suspects."""
 
 
 class Crashes:
-    """Keep the book, and pass on what is news along the links that versions pass along.
+    """Keep the crash book, and propagate new sightings to the neighbours.
 
-    An entry's neighbours are those that it follows, those that follow it and, for one that reads
-    the table, the readers of other halls. Each passes on only what it did not know, so a word
-    takes as many hops as the tree is deep, and ends.
+    An entry's neighbours are the entries that it follows, those that follow it and, if it reads the
+    table, the readers of other halls. An entry forwards only what it did not know, so a sighting
+    travels as many hops as the tree is deep, and propagation ends.
     """
 
     def __init__(self, outbox: Outbox) -> None:
@@ -37,7 +37,7 @@
         self._last_repeat_s = float("-inf")
 
     def set_neighbours(self, neighbours: Iterable[Peer]) -> None:
-        """Tell these from now on, and ask those that are new what they know."""
+        """Set the neighbours, and ask new ones for everything they know."""
         self._neighbours = tuple(dict.fromkeys(neighbours))
         for peer in self._neighbours:
             if peer.node not in self._queried:
@@ -45,7 +45,7 @@
         self._queried = frozenset(peer.node for peer in self._neighbours)
 
     def check_request(self, fingerprint: Fingerprint, now_s: float) -> CrashVerdict:
-        """Note that a request is asked for; return whether it may be sent."""
+        """Record that a request was made, and return whether it may be sent."""
         verdict = self._book.asked(fingerprint, now_s)
         if verdict.on_trial:
             self._outbox.count("crash.on_trial")
@@ -54,20 +54,20 @@
         return verdict
 
     def record_crash(self, fingerprint: Fingerprint, target: InstanceId, now_s: float) -> None:
-        """Note that a target ended under a request."""
+        """Record that a target's process ended while running a request."""
         self._outbox.count("crash.under_request")
         if self._book.crashed(fingerprint, target, now_s):
             self._log_crashes(fingerprint)
             self._send_sightings([fingerprint], self._neighbours, now_s)
 
     def record_finish(self, fingerprint: Fingerprint, now_s: float) -> None:
-        """Note that a target ran a request to its end and goes on."""
+        """Record that a target completed a request and keeps running."""
         if self._book.finished(fingerprint, now_s):
             self._outbox.count("crash.cleared")
             self._send_sightings([fingerprint], self._neighbours, now_s)
 
     def on_news(self, sender: Peer, news: CrashNews, now_s: float) -> None:
-        """Take what another entry tells, pass on what is news, and answer if it asks."""
+        """Apply another entry's sightings, forward the new ones, and reply if it asks."""
         updated = [
             sighting.fingerprint for sighting in news.sightings if self._book.hear(sighting, now_s)
         ]
@@ -80,7 +80,7 @@
             self._send_sightings(relevant, (sender,), now_s)
 
     def tick(self, now_s: float) -> None:
-        """Tell of fatal requests again when that is due, and forget what is too old."""
+        """Send fatal requests again when due, and expire old records."""
         if now_s - self._last_repeat_s >= REPEAT_INTERVAL_S:
             self._last_repeat_s = now_s
             self._book.expire(now_s)
@@ -95,7 +95,7 @@
                 self._outbox.send(peer, news)
 
     def _log_crashes(self, fingerprint: Fingerprint) -> None:
-        """Write what is known of a request that several targets ended under."""
+        """Log a request that has crashed several targets."""
         crashes = self._book.crashes(fingerprint)
         if crashes < MIN_LOGGED_CRASHES:
             return
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/domaingroups.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/domaingroups.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A domain's groups as an entry knows them, and what of them to tell others."""
+"""A domain's groups as an entry knows them, and the updates sent to its followers."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DomainGroups:
-    """Hold a domain's groups as of its epoch counter."""
+    """A domain's groups at one value of its epoch counter."""
 
     counter: Epoch
     groups: tuple[GroupRow, ...]
 
 
 def groups_update(domain: DomainId, before: DomainGroups | None, now: DomainGroups) -> GroupsUpdate:
-    """Return what turns what was told before into what is known now."""
+    """Return the update from the groups sent before to the current ones."""
     if before is None or before.counter == NO_EPOCH:
         return GroupsUpdate(domain, NO_EPOCH, now.counter, (), now.groups)
     previous_rows = {row.group: row for row in before.groups}
@@ -31,14 +31,14 @@
 
 
 def apply_groups_update(known: tuple[GroupRow, ...], update: GroupsUpdate) -> tuple[GroupRow, ...]:
-    """Return the groups after an update that says what changed."""
+    """Return the groups after an incremental update."""
     rows = {row.group: row for row in known}
     rows.update({row.group: row for row in update.groups})
     return tuple(row for group, row in rows.items() if group not in update.gone)
 
 
 def counters_digest(domains: Mapping[DomainId, DomainGroups]) -> int:
-    """Return a number that two equal sets of counters share, 0 for none."""
+    """Return a digest of the domains' epoch counters, 0 for no domains."""
     if not domains:
         return 0
     counters = sorted((domain, known.counter) for domain, known in domains.items())
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/keyclaims.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/keyclaims.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An entry's claims on callers' keys at their homes."""
+"""Claims of callers' idempotency keys at the agents that are the keys' homes."""
 
 from collections.abc import Callable
 
@@ -21,12 +21,12 @@
 
 
 def claim_failure_reason(claim: ClaimRound, state: ClaimState) -> Reason:
-    """Return why a claim was not won."""
+    """Return the reason for a claim that was not won."""
     return _REASONS.get((state, claim.holder_outcome), Reason.KEY_HOMES_UNREACHABLE)
 
 
 class KeyClaims:
-    """Ask the homes of a call's key, and tell them how the call ended."""
+    """Claim calls' keys at their homes, and report the calls' outcomes to them."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self._outbox = outbox
 
     def begin(self, call: Call, now_s: float) -> None:
-        """Claim the call's key under the version in force."""
+        """Claim a call's key under the version in force."""
         request = call.request
         assert request.key is not None
         home_sets = self._view_sync.view.homes(request.key, now_s)
@@ -54,7 +54,7 @@
         )
 
     def end(self, call: Call, outcome: Outcome) -> None:
-        """Tell the homes, if any were asked, how the call ended."""
+        """Report a call's outcome to the homes of its key, if it was claimed."""
         request = call.request
         if call.claim is not None and request.key is not None:
             self._send_to_homes(call.claim, ClaimEnd(request.key, request.request, outcome))
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/legacy.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/legacy.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Targets that the operators' old tools still run, as the router sees them."""
+"""Targets run by the operators' former tools, as replicas for the router."""
 
 from ochreway_core.bundle import Bundle, Model
 from ochreway_core.ids import GroupId, NodeId
@@ -8,10 +8,11 @@
 
 LEGACY_PREFIX = "legacy:"
 ASSUMED_SLOTS = 64
+"""Number of slots that each legacy target is assumed to have."""
 
 
 def legacy_replicas(bundle: Bundle) -> list[ReplicaView]:
-    """Return a replica for each target that gets a share of a model's requests."""
+    """Return a replica for each legacy target of a model with a legacy share."""
     return [replica for model in bundle.model for replica in _model_replicas(model)]
 
 
@@ -33,7 +34,7 @@
 
 
 def is_legacy(peer: Peer) -> bool:
-    """Tell whether the peer stands for a target of the old tools."""
+    """Return whether the peer represents a legacy target."""
     return peer.node.startswith(LEGACY_PREFIX)
 
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/listing.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/listing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's list as an entry knows it, and what of it to tell others."""
+"""The platform's list as an entry knows it, and the updates sent to its followers."""
 
 from collections.abc import Iterable, Mapping
 
@@ -18,14 +18,14 @@
 
 
 def digest_of(listing: Listing) -> int:
-    """Return a number that two equal lists share, 0 for an empty one."""
+    """Return a digest of the list, 0 for an empty one."""
     if not listing:
         return 0
     return xxhash.xxh32_intdigest(repr(sorted(listing.items())).encode()) or 1
 
 
 def difference(known: Listing, now: Listing) -> ListingUpdate:
-    """Return what turns one list into the other."""
+    """Return the update from a known list to the current one."""
     changed = tuple(instance for node, instance in now.items() if known.get(node) != instance)
     removed = tuple(node for node in known if node not in now)
     return ListingUpdate(not known, changed, removed)
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/node.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/node.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The entry as one node: a request, a message or a tick in, effects out."""
+"""The entry as a state machine: requests, messages and ticks in, effects out."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -61,12 +61,13 @@
 from ochreway_routing.router import DEFAULT_POLICY, Router
 
 FOLLOW_INTERVAL_S = 5.0
+"""Interval at which an entry sends ``Follow`` to the leaders of its groups."""
 
 Handler = Callable[[Peer, Any, float], None]
 
 
 class EntryNode:
-    """Join the view of the table, the controllers and the requests in progress."""
+    """Combine the view of the table, the controllers and the requests in progress."""
 
     def __init__(
         self,
@@ -136,16 +137,16 @@
 
     @property
     def listing(self) -> Listing:
-        """Return the platform's list as it is known here."""
+        """The platform's list as it is known here."""
         return self.keeper.listing
 
     @property
     def version(self) -> Version:
-        """Return the configuration version in force here."""
+        """The configuration version in force here."""
         return self.view_sync.view.version
 
     def take(self) -> list[Effect]:
-        """Return the effects asked for since they were last taken."""
+        """Return and clear the effects requested since the last call."""
         return self._outbox.take()
 
     def _next_call(self) -> int:
@@ -159,7 +160,7 @@
     # Events
 
     def on_message(self, sender: Peer, version: Version, message: object, now_s: float) -> None:
-        """Handle a message that showed its sender's version."""
+        """Handle a message; ``version`` is the sender's configuration version."""
         self._close_halls(now_s)
         self.view_sync.on_peer_version(sender, version, now_s)
         handler = self._handlers.get(type(message))
@@ -170,24 +171,24 @@
         self._apply_changes(now_s)
 
     def on_request(self, request: Request, now_s: float) -> None:
-        """Begin a request."""
+        """Start a request."""
         self._close_halls(now_s)
         self.calls.start(request, now_s)
 
     def on_caller_gone(self, request: RequestId) -> None:
-        """End a request whose caller has gone."""
+        """End a request whose caller is gone."""
         self.calls.cancel(request)
 
     def on_passed(self, request: RequestId, passed: int) -> None:
-        """Note how many bytes of an answer the caller has taken."""
+        """Record how many bytes of an answer the caller has received."""
         self.calls.record_passed(request, passed)
 
     def on_link_down(self, node: NodeId, now_s: float) -> None:
-        """Settle what was in flight over a link that is gone."""
+        """Settle the attempts in flight over a lost link."""
         self.calls.on_link_down(node, now_s)
 
     def on_read(self, use: TableUse, call: int, reply: ReadReply, now_s: float) -> None:
-        """Take in rows of the table."""
+        """Handle the reply to a read of the table."""
         if use is TableUse.VIEW:
             self.keeper.on_read(call, reply, now_s)
         else:
@@ -196,24 +197,24 @@
         self._apply_changes(now_s)
 
     def on_commit(self, call: int, reply: CommitReply, now_s: float) -> None:
-        """Take in what became of a transaction."""
+        """Handle the outcome of a transaction."""
         for controller in self.controllers.values():
             controller.on_commit(call, reply, now_s)
         self._publish_own_groups()
         self._apply_changes(now_s)
 
     def on_body(self, bundle: BundleHash, body: bytes | None, now_s: float) -> None:
-        """Take in a bundle's body."""
+        """Handle a bundle's body from the object store."""
         self.keeper.on_body(bundle, body, now_s)
         self._apply_changes(now_s)
 
     def on_snapshot(self, snapshot: Snapshot, now_s: float) -> None:
-        """Take in a version that an operator's command pushes."""
+        """Apply a version pushed by an operator's command."""
         self.keeper.apply(snapshot, now_s)
         self._apply_changes(now_s)
 
     def on_listing(self, instances: Iterable[ListedInstance], now_s: float) -> None:
-        """Take in the platform's list."""
+        """Handle the platform's list."""
         if self.keeper.set_listing(listing_of(instances)):
             self._apply_listing(now_s)
 
@@ -243,7 +244,10 @@
         self.keeper.follow([peer for peer in peers if peer is not None])
 
     def _readers_of_other_halls(self, entries: list[ListedInstance]) -> list[Peer]:
-        """Return the readers of other halls, for a reader; news passes between halls by them."""
+        """Return the readers of other halls if this entry is a reader.
+
+        Readers propagate updates between halls.
+        """
         if not self.keeper.reads_table:
             return []
         halls = sorted({entry.hall for entry in entries} - {self.hall})
@@ -269,7 +273,7 @@
             controller.on_report(report, now_s)
 
     def on_tick(self, now_s: float) -> None:
-        """Do what is due."""
+        """Run the periodic work of all parts."""
         self.keeper.tick(now_s)
         self._close_halls(now_s)
         for domain, controller in self.controllers.items():
@@ -284,13 +288,13 @@
         self._apply_changes(now_s)
 
     def stop(self, now_s: float) -> None:
-        """Begin a planned stop: give leases up; the caller stops new requests."""
+        """Begin a planned stop by releasing leases; the shell admits no new requests."""
         self.stopping = True
         for controller in self.controllers.values():
             controller.release_lease(now_s)
 
     def may_stop(self) -> bool:
-        """Tell whether a planned stop would cut nothing."""
+        """Return whether stopping now would interrupt no request."""
         return not len(self.calls)
 
     # Changes
@@ -298,7 +302,7 @@
     def _apply_changes(self, now_s: float) -> None:
         if not self.keeper.consume_changed():
             return
-        # Leaders hear of the version from these messages at once.
+        # Send ``Follow`` at once, as leaders learn of the new version from these messages.
         self._last_follow_s = -1.0e9
         bundle = self.view_sync.view.bundle
         self._close_halls(now_s)
@@ -309,7 +313,7 @@
         self._set_replicas()
 
     def _close_halls(self, now_s: float) -> None:
-        """Stop sending to halls whose time is over, and resume sending to those given back."""
+        """Stop sending to halls whose grace period is over, and resume with restored halls."""
         closed = self.drains.closed(now_s)
         if closed == self._closed_halls:
             return
@@ -320,7 +324,7 @@
         self._set_replicas()
 
     def _set_controllers(self, now_s: float) -> None:
-        """Watch the leases of those domains that this entry is a candidate for."""
+        """Configure the controllers of the domains that this entry is a lease candidate for."""
         bundle = self.view_sync.view.bundle
         if bundle is None:
             return
@@ -362,7 +366,7 @@
             self.limits.configure(bundle.organisation, entries)
 
     def entries(self) -> tuple[NodeId, ...]:
-        """Return the entries that are listed, this one too."""
+        """Return the listed entries and this one."""
         listed = (entry.node for entry in entries_of(self.listing))
         return tuple(sorted({*listed, self.me.node}))
 
@@ -387,9 +391,10 @@
         )
 
     def _is_excluded(self, node: NodeId) -> bool:
-        """Tell whether an instance is leaving, or stands in a hall that gets nothing new.
+        """Return whether no new requests go to an instance: it is leaving or in a closed hall.
 
-        While a hall gets nothing, one whose hall is not known might stand there.
+        While any hall is closed, an instance whose hall is unknown is excluded too, as it might be
+        in that hall.
         """
         listed = self.listing.get(node)
         if listed is None:
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/spreadtree.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/spreadtree.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Who reads the table in a hall, and from whom the others hear.
+"""The tree by which the entries of a hall receive what its readers read from the table.
 
-The hall's entries stand in rendezvous order. The first two read; each of the others follows
-two of those before it, so that nobody has more than a few followers and news passes in few
-hops.
+The hall's entries are ordered by rendezvous hashing. The first two read the table; each other
+entry follows two entries before it in the order. No entry has more than a few followers, and an
+update takes few hops.
 """
 
 from ochreway_core.ids import NodeId
@@ -14,17 +14,17 @@
 
 
 def readers_of(order: list[NodeId]) -> list[NodeId]:
-    """Return the hall's readers."""
+    """Return the entries of the hall that read the table."""
     return order[:READERS_PER_HALL]
 
 
 def reads_table(node: NodeId, order: list[NodeId]) -> bool:
-    """Tell whether the node is one of the hall's readers, as it is when it knows of none."""
+    """Return whether the node is one of the hall's readers; True if no entry is known."""
     return not order or node in readers_of(order)
 
 
 def parents_of(node: NodeId, order: list[NodeId]) -> list[NodeId]:
-    """Return those that the node follows: none within the hall for a reader."""
+    """Return the entries that the node follows; a reader follows the hall's other readers."""
     if node not in order or reads_table(node, order):
         return [other for other in order[:READERS_PER_HALL] if other != node]
     position = order.index(node) - READERS_PER_HALL
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/subset.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/subset.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The groups that one entry routes to, of all that exist."""
+"""Choice of the groups that one entry routes requests to."""
 
 from collections.abc import Mapping
 
@@ -8,8 +8,11 @@
 from ochreway_core.rows import GroupRow
 
 GROUPS_PER_TARGET = 10
+"""Approximate number of groups of one target that an entry follows."""
 OTHER_HALL_GROUPS = 2
+"""Groups in other halls that an entry follows besides those in its own."""
 MIN_FOLLOWERS = 8
+"""Minimum number of entries of a hall that follow each of its groups."""
 
 
 def followed_groups(
@@ -18,10 +21,10 @@
     groups: list[GroupRow],
     listing: Mapping[NodeId, ListedInstance],
 ) -> list[GroupRow]:
-    """Return a bounded subset of each target's groups, most of them of the own hall.
+    """Return a bounded subset of each target's groups, most of them in the entry's own hall.
 
-    Every group is followed by as many of its hall's entries as any other, so none is left
-    out when there are few entries.
+    Every group is followed by the same number of its hall's entries, so no group is left out
+    when there are few entries.
     """
     by_target: dict[str, list[GroupRow]] = {}
     for row in sorted(groups, key=lambda row: row.group):
@@ -58,10 +61,10 @@
 
 
 def follows(position: int, entries: int, index: int, groups: int) -> bool:
-    """Tell whether the entry at a place follows the group at an index.
+    """Return whether the entry at a position follows the group at an index.
 
-    A group's followers stand one after another in the order of entries, and the groups'
-    first followers are spread evenly over it.
+    A group's followers are consecutive in the order of entries, and the groups' first followers
+    are distributed evenly over it.
     """
     followers = max(MIN_FOLLOWERS, -(-GROUPS_PER_TARGET * entries // groups))
     return (position - index * entries // groups) % entries < followers
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/viewkeeper.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/viewkeeper.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How an entry keeps up with the table: versions, leases and groups."""
+"""How an entry follows the table: versions, drained halls, leases and groups."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -51,11 +51,15 @@
 
 BACKOFF_BASE_S = 0.5
 FOLLOW_INTERVAL_S = 2.0
+"""Interval at which an entry sends ``FollowView`` to its parents."""
 FOLLOWER_TIMEOUT_S = 7.0
+"""How long an entry stays a follower after its last ``FollowView``."""
 
 
 @dataclass(slots=True)
 class _Follower:
+    """A following entry, and what it has been sent."""
+
     peer: Peer
     expires_s: float
     sent_groups: dict[DomainId, DomainGroups]
@@ -64,7 +68,7 @@
 
 
 class ViewKeeper:
-    """Poll the table when this entry is one of its hall's readers, else follow a reader."""
+    """Poll the table if this entry is one of its hall's readers, else follow other entries."""
 
     def __init__(
         self,
@@ -105,11 +109,11 @@
 
     @property
     def reads_list(self) -> bool:
-        """Tell whether this entry reads the platform's list itself."""
+        """Whether this entry reads the platform's list itself."""
         return self.reads_table or not self.listing
 
     def set_listing(self, listing: Listing) -> bool:
-        """Take the platform's list; return whether it differs from the known one."""
+        """Set the platform's list; return whether it differs from the known one."""
         if listing == self.listing:
             return False
         self.listing = listing
@@ -117,11 +121,11 @@
         return True
 
     def on_listing_update(self, update: ListingUpdate) -> bool:
-        """Take a change of the list from another entry."""
+        """Apply another entry's update of the list; return whether the list changed."""
         return not self.reads_table and self.set_listing(apply_listing_update(self.listing, update))
 
     def consume_changed(self) -> bool:
-        """Return whether the groups or the version changed since last asked."""
+        """Return whether groups, version or drained halls changed since the last call."""
         changed, self._changed = self._changed, False
         return changed
 
@@ -129,10 +133,10 @@
         """Return every known group."""
         return [row for domain_groups in self.domains.values() for row in domain_groups.groups]
 
-    # Reading the table
+    # Table reads
 
     def tick(self, now_s: float) -> None:
-        """Poll or follow when due."""
+        """Poll the table, follow the parents and update the followers as due."""
         if self._call is not None and now_s - self._read_sent_s > self._timing.table_timeout_s:
             self._on_read_failed(now_s)
         if self._may_poll(now_s):
@@ -146,7 +150,7 @@
         self._update_followers(now_s)
 
     def _poll(self, now_s: float) -> None:
-        """Read the head, and now and then the leases, whose counters tell of changed groups."""
+        """Read head and halls, and less often the leases, whose counters show group changes."""
         prefixes = [head_key(self._scope), halls_key(self._scope)]
         self._last_poll_s = now_s
         if now_s - self._last_lease_poll_s >= self._timing.lease_poll_s:
@@ -155,13 +159,13 @@
         self._read(tuple(prefixes), now_s)
 
     def follow(self, parents: list[Peer]) -> None:
-        """Follow these entries from now on."""
+        """Set the entries to follow."""
         if parents != self.parents:
             self.parents = parents
             self._last_follow_s = -1.0e9
 
     def neighbours(self) -> list[Peer]:
-        """Return the entries that this one follows, and those that follow it."""
+        """Return the entries that this entry follows and those that follow it."""
         return [*self.parents, *(item.peer for item in self._followers.values())]
 
     def _may_poll(self, now_s: float) -> bool:
@@ -175,19 +179,19 @@
 
     def _on_read_failed(self, now_s: float) -> None:
         self._call = None
-        # The next answer holds other rows: it must not be taken for that of these groups.
+        # The next reply holds other rows, so it must not be read as the reply for these groups.
         self._requested_domains = frozenset()
         self._failing = True
         self._outbox.count("view.table_failed")
         self._not_before_s = now_s + self._backoff.failed()
 
     def poll_soon(self) -> None:
-        """Read at once: someone says that there is something new."""
+        """Poll the head and the leases at the next tick."""
         self._last_poll_s = -1.0e9
         self._last_lease_poll_s = -1.0e9
 
     def on_read(self, call: int, reply: ReadReply, now_s: float) -> None:
-        """Take in an answer of the table."""
+        """Handle the reply to a read of the table."""
         if call != self._call:
             return
         if reply.rows is None:
@@ -209,7 +213,7 @@
             self._drains.record_no_drains()
 
     def _apply_drained_halls(self, drained: DrainedHalls, now_s: float) -> None:
-        """Take drained halls that are newer than what is known, and pass them on."""
+        """Apply drained halls newer than the known ones, and forward them to the followers."""
         if not self._drains.apply_reading(drained, now_s):
             return
         self._changed = True
@@ -258,7 +262,7 @@
             self._read(tuple(wanted_keys), now_s)
 
     def set_groups(self, domain: DomainId, counter: Epoch, groups: tuple[GroupRow, ...]) -> None:
-        """Take a domain's groups unless newer ones are known."""
+        """Set a domain's groups unless newer ones are known."""
         known = self.domains.get(domain)
         if known is None or known.counter < counter or known.groups != groups:
             if known is not None and known.counter > counter:
@@ -274,7 +278,7 @@
         self._try_apply(now_s)
 
     def on_body(self, bundle: BundleHash, body: bytes | None, now_s: float) -> None:
-        """Take in a bundle's body from the object store."""
+        """Handle a bundle's body from the object store; None if it could not be fetched."""
         if self._pending_roll is None or bundle != self._pending_roll.bundle or body is None:
             return
         self._pending_body = body
@@ -288,7 +292,7 @@
         self.apply(snapshot, now_s)
 
     def apply(self, snapshot: Snapshot, now_s: float) -> bool:
-        """Put a version in force if it is newer and signed off."""
+        """Put a version in force if it is newer and approved; return whether it was."""
         applied = self._view_sync.apply(snapshot, now_s)
         self._changed = self._changed or applied
         if applied:
@@ -299,24 +303,24 @@
     # Other entries
 
     def on_view_delta(self, sender: Peer, message: ViewDelta, now_s: float) -> None:
-        """Take in a version as a difference from one that is known here."""
+        """Apply a version received as a delta from a known one."""
         snapshot = self._view_sync.snapshot_from(message)
         if snapshot is not None:
             self.apply(snapshot, now_s)
 
     def on_view_notice(self, sender: Peer, message: ViewNotice, now_s: float) -> None:
-        """Do nothing more: the version that came with it has been looked at."""
+        """Do nothing: the version that the message carried has been handled already."""
 
     def on_view_update(self, sender: Peer, update: ViewUpdate, now_s: float) -> None:
-        """Take in a version from another process."""
+        """Apply a version received from another process."""
         self.apply(update.snapshot, now_s)
 
     def on_halls_update(self, sender: Peer, update: HallsUpdate, now_s: float) -> None:
-        """Take in the drained halls from another entry."""
+        """Apply drained halls received from another entry."""
         self._apply_drained_halls(update.drained, now_s)
 
     def on_follow_view(self, sender: Peer, message: FollowView, now_s: float) -> None:
-        """Count an entry among the followers for a while."""
+        """Add or renew a follower, and send it what it lacks."""
         follower = self._followers.get(sender.node)
         if follower is None or follower.expires_s < now_s:
             follower = _Follower(sender, 0.0, {}, {})
@@ -331,7 +335,7 @@
         self._send_updates(follower)
 
     def on_groups_update(self, sender: Peer, update: GroupsUpdate, now_s: float) -> None:
-        """Take in a domain's groups from another entry."""
+        """Apply a domain's groups received from another entry."""
         known = self.domains.get(update.domain)
         if not update.base:
             self.set_groups(update.domain, update.counter, update.groups)
--- a/packages/ochreway-nodes/src/ochreway_nodes/outbox.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/outbox.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The effects that a node has asked for since they were last taken."""
+"""The effects that a node requests from its shell."""
 
 from ochreway_core.effects import Count, Effect, Log, Send
 from ochreway_core.peer import Peer
@@ -12,23 +12,23 @@
         self._effects: list[Effect] = []
 
     def add(self, effect: Effect) -> None:
-        """Ask for an effect."""
+        """Add an effect."""
         self._effects.append(effect)
 
     def send(self, peer: Peer, message: object) -> None:
-        """Ask to send a message."""
+        """Request that a message is sent."""
         self._effects.append(Send(peer, message))
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Ask to add to a counter."""
+        """Request that a counter is increased."""
         self._effects.append(Count(name, amount))
 
     def log(self, event: str, **fields: object) -> None:
-        """Ask to log an event."""
+        """Request that an event is logged."""
         self._effects.append(Log(event, fields))
 
     def take(self) -> list[Effect]:
-        """Return the effects and forget them."""
+        """Return and clear the collected effects."""
         pending, self._effects = self._effects, []
         return pending
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/targetstate.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/targetstate.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What a target says it has loaded."""
+"""The state that a target reports."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetState:
-    """Hold a target's answer to being asked for its state, and when it was given."""
+    """A target's reply to a state poll, and the time of the reply (``seen_s``)."""
 
     epoch: Epoch = NO_EPOCH
     artifact: str = ""
--- a/packages/ochreway-nodes/src/ochreway_nodes/viewsync.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/viewsync.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How a node keeps up with the version that others show, and shows its own."""
+"""Exchange of configuration versions between processes."""
 
 import zlib
 
@@ -11,13 +11,14 @@
 from ochreway_nodes.outbox import Outbox
 
 REQUEST_RETRY_DELAY_S = 0.3
+"""Minimum interval between requests for a newer version."""
 
 
 class ViewSync:
-    """Ask whoever shows a newer version, one at a time, and answer those who ask.
+    """Request newer versions from peers that have them, one at a time, and answer requests.
 
-    Nobody is sent a version unasked: a process hears of it from many at once, and the body
-    is what costs.
+    A version is only sent on request: a process learns of a new version from many peers at once,
+    and transferring the body is the expensive part.
     """
 
     def __init__(self, view: View, outbox: Outbox) -> None:
@@ -27,17 +28,17 @@
         self._last_request_s = -1.0e9
 
     def on_peer_version(self, sender: Peer, version: Version, now_s: float) -> None:
-        """Compare the version that a message carried with the one in force here."""
+        """Record the version that a message carried, and request it if it is newer."""
         self._peer_versions[sender.node] = version
         if version > self.view.version:
             self._request_view(sender, now_s)
 
     def version_of(self, node: NodeId) -> Version:
-        """Return the version that the node's last message carried."""
+        """Return the version that the node's last message carried, 0 if there was none."""
         return self._peer_versions.get(node, Version(0))
 
     def on_request(self, sender: Peer, request: ViewRequest, now_s: float) -> None:
-        """Send the version in force, as a difference where the asker has what it is from."""
+        """Send the version in force, as a delta if the base that the sender has is known here."""
         snapshot = self.view.snapshot
         if snapshot is None:
             return
@@ -50,7 +51,7 @@
         self._outbox.send(sender, message)
 
     def snapshot_from(self, message: ViewDelta) -> Snapshot | None:
-        """Put a version together from a difference, or note that its base is not here."""
+        """Rebuild a version from a delta; None if the base is unknown or the delta corrupt."""
         base = self.view.body_of(message.base)
         if base is None:
             self._outbox.count("configuration.no_base")
@@ -63,7 +64,7 @@
         return snapshot_of(message.roll, body, message.approvals)
 
     def apply(self, snapshot: Snapshot, now_s: float) -> bool:
-        """Put a version in force if it is newer and signed off."""
+        """Put a version in force if it is newer and approved; return whether it was."""
         result = self.view.apply(snapshot, now_s)
         if result.is_err():
             self._outbox.count("configuration.rejected")
--- a/tests/nodes/test_drainstate.py
+++ b/tests/nodes/test_drainstate.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What an entry makes of words on drained halls, in whatever order they come."""
+"""The state of drained halls, for readings that arrive in any order."""
 
 import itertools
 
--- a/tests/nodes/test_viewkeeper.py
+++ b/tests/nodes/test_viewkeeper.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A reading of groups without an answer leaves the groups that are known as they are."""
+"""A read of groups that gets no reply leaves the known groups as they are.
+
+Guards against taking the reply to the next read, which holds other rows, for the lost one.
+"""
 
 import random
 
