--- a/packages/ochreway-daemon/src/ochreway_daemon/api/callers.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/api/callers.py
@@ -22,7 +22,7 @@
 from ochreway_daemon.callerstream import CallerStream
 from ochreway_daemon.entryshell import EntryShell
 from ochreway_daemon.errors import CallerFault
-from ochreway_routing.prefix import blocks_of
+from ochreway_routing.prefix import prompt_block_hashes
 from ochreway_runtime import steadyclock
 
 ANSWER_BYTES_AT_MOST = 64 * 1024 * 1024
@@ -125,7 +125,7 @@
             raw,
             body.prompt_tokens,
             body.max_tokens,
-            blocks_of(body.model, body.prompt),
+            prompt_block_hashes(body.model, body.prompt),
         )
         return await self._answer(request, begun, body.stream)
 
--- a/packages/ochreway-daemon/src/ochreway_daemon/legacyrunner.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/legacyrunner.py
@@ -44,7 +44,7 @@
 
     def _take(self, url: str, notice: TargetNotice, to_request: bool) -> None:
         now_s = asyncio.get_running_loop().time()
-        self._backoffs.take(url, notice, now_s)
+        self._backoffs.record_notice(url, notice, now_s)
         if to_request:
             self._limits.answered(url, notice.limit_per_s, now_s)
 
--- a/packages/ochreway-daemon/src/ochreway_daemon/sharedlimits.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/sharedlimits.py
@@ -7,7 +7,7 @@
 from ochreway_core.rendezvous import rank
 from ochreway_routing.quota import Quota
 from ochreway_routing.slidingwindow import SlidingWindow
-from ochreway_routing.targetlimits import LimitWord, TargetLimits
+from ochreway_routing.targetlimits import LimitNotice, TargetLimits
 
 
 class SharedLimits:
@@ -22,7 +22,7 @@
 
     def answered(self, url: str, limit_per_s: float | None, now_s: float) -> None:
         """Take the limit that the answer to a request names, or that it names none."""
-        self._limits.take(url, LimitWord(limit_per_s, now_s))
+        self._limits.record_limit(url, LimitNotice(limit_per_s, now_s))
         if limit_per_s is None:
             self._windows.pop(url, None)
 
@@ -34,12 +34,12 @@
         limit_per_s = self._limits.limit_per_s(url)
         if limit_per_s is None:
             return 0.0
-        quota = Quota.of(limit_per_s)
+        quota = Quota.for_limit(limit_per_s)
         own = self._share(url, quota.requests)
         if not own:
-            return quota.each_s
+            return quota.interval_s
         window = self._windows.setdefault(url, SlidingWindow())
-        return window.free_in_s(own, quota.span_s, now_s)
+        return window.free_in_s(own, quota.window_s, now_s)
 
     def _share(self, url: str, requests: int) -> int:
         """Return an equal share; what is left over goes to other entries for other targets."""
--- a/packages/ochreway-direct/src/ochreway_direct/crashes/crashkeeper.py
+++ b/packages/ochreway-direct/src/ochreway_direct/crashes/crashkeeper.py
@@ -12,7 +12,7 @@
 from ochreway_direct.crashes.fatalrow import PREFIX, FatalRow, key_of, read_row
 from ochreway_platform.errors import TableUnavailable
 from ochreway_platform.table import Table
-from ochreway_routing.crashbook import REMEMBERED_S, CrashBook
+from ochreway_routing.crashbook import QUARANTINE_S, CrashBook
 from ochreway_routing.crashrecord import FATAL_CRASHES
 from ochreway_runtime.logs import EventLog
 from ochreway_runtime.metrics import Metrics
@@ -23,7 +23,7 @@
 Whoever saw the third crash writes at once; where two entries saw one each at the same moment,
 neither did.
 """
-TIDY_S = REMEMBERED_S / 2
+TIDY_S = QUARANTINE_S / 2
 """How often the holder of the lease writes rows anew that still count, and drops the others."""
 WRITTEN_AT_ONCE = 50
 """How many rows one transaction has; the platform takes 100."""
@@ -74,7 +74,7 @@
                 self._wake.set()
 
     def _fatal(self, fingerprint: Fingerprint) -> bool:
-        return self._book.crashes(fingerprint) >= FATAL_CRASHES
+        return self._book.crash_count(fingerprint) >= FATAL_CRASHES
 
     async def run(self) -> None:
         """Read all rows, then write what is due until cancelled."""
@@ -104,7 +104,7 @@
         if rows is None:
             return False
         now_s, wall_s = self._loop.time(), self._wall()
-        found = [row for row in rows.values() if row.age_s(wall_s) < 2 * REMEMBERED_S]
+        found = [row for row in rows.values() if row.age_s(wall_s) < 2 * QUARANTINE_S]
         self._kept.update(row.fingerprint for row in found)
         self._watch.hear(tuple(row.sighting(wall_s) for row in found), now_s)
         return True
@@ -160,7 +160,7 @@
             return
         wall_s = self._wall()
         old = [row for row in rows.values() if row.age_s(wall_s) >= TIDY_S]
-        over = [row for row in old if row.age_s(wall_s) >= 2 * REMEMBERED_S]
+        over = [row for row in old if row.age_s(wall_s) >= 2 * QUARANTINE_S]
         due = {row.fingerprint for row in over}
         due |= {row.fingerprint for row in old if self._asked_lately(row, wall_s)}
         self._due.update(dict.fromkeys(due))
--- a/packages/ochreway-direct/src/ochreway_direct/crashes/crashwatch.py
+++ b/packages/ochreway-direct/src/ochreway_direct/crashes/crashwatch.py
@@ -59,7 +59,7 @@
         """Return for how long a call must not be sent; 0 when it may be."""
         if not self._refuses or (call.on_trial and not call.sends):
             return 0.0
-        verdict = self._book.asked(call.fingerprint, self._loop.time())
+        verdict = self._book.check_request(call.fingerprint, self._loop.time())
         if verdict.on_trial:
             self._try_again(call)
         return verdict.fatal_for_s
@@ -73,8 +73,8 @@
 
     def finished(self, call: Call) -> None:
         """Note that a target ran a call to its end and goes on."""
-        crashes = self._book.crashes(call.fingerprint)
-        if self._book.finished(call.fingerprint, self._loop.time()):
+        crashes = self._book.crash_count(call.fingerprint)
+        if self._book.record_completion(call.fingerprint, self._loop.time()):
             if crashes >= TOLD_FROM:
                 self._log.event("request_cleared", fingerprint=call.fingerprint, crashes=crashes)
             self._metrics.count("crash.cleared")
@@ -93,20 +93,20 @@
             self._metrics.count("crash.target_stands")
             return
         self._metrics.count("crash.under_request")
-        if self._book.crashed(fingerprint, attempt.instance, broke_s):
+        if self._book.record_crash(fingerprint, attempt.instance, broke_s):
             self._tell(fingerprint)
             self._changed(fingerprint)
 
     def hear(self, sightings: tuple[CrashSighting, ...], heard_s: float) -> list[Fingerprint]:
         """Take what another entry tells; return the requests of which it was news."""
-        news = [each.fingerprint for each in sightings if self._book.hear(each, heard_s)]
+        news = [each.fingerprint for each in sightings if self._book.merge_sighting(each, heard_s)]
         for fingerprint in news:
             self._tell(fingerprint)
         return news
 
     def _tell(self, fingerprint: Fingerprint) -> None:
         """Write what is known of a request that several targets ended under."""
-        crashes = self._book.crashes(fingerprint)
+        crashes = self._book.crash_count(fingerprint)
         if crashes < TOLD_FROM:
             return
         targets = ",".join(self._book.targets(fingerprint))
--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -354,7 +354,7 @@
     def _share_retries(self) -> None:
         """Take this entry's part of the repeats that all entries may make."""
         entries = 1 + max(len(self.peers.all()), len(self.settings.peer) - 1)
-        self.retry_budget.at_most = self.settings.retries_at_once / entries
+        self.retry_budget.max_balance = self.settings.retries_at_once / entries
 
     # Groups.
 
--- a/packages/ochreway-direct/src/ochreway_direct/noticewatch.py
+++ b/packages/ochreway-direct/src/ochreway_direct/noticewatch.py
@@ -8,7 +8,7 @@
 from ochreway_core.ids import InstanceId
 from ochreway_core.targetnotice import TargetNotice
 from ochreway_routing.backoffs import Backoffs
-from ochreway_routing.targetlimits import KNOWN_AT_MOST, LimitWord, TargetLimits
+from ochreway_routing.targetlimits import MAX_TARGETS, LimitNotice, TargetLimits
 from ochreway_runtime.logs import EventLog
 from ochreway_runtime.metrics import Metrics
 
@@ -49,7 +49,9 @@
             self._metrics.count("notice.leaving")
         if notice.limit_per_s is not None:
             self._metrics.count("notice.limit")
-        if not self._backoffs.take(instance, notice, asyncio.get_running_loop().time(), born_ms):
+        if not self._backoffs.record_notice(
+            instance, notice, asyncio.get_running_loop().time(), born_ms
+        ):
             return
         if notice.leaving:
             self._log.event("target_leaving", target=instance)
@@ -73,7 +75,7 @@
     ) -> None:
         now_s = asyncio.get_running_loop().time()
         before = self._limits.limit_per_s(instance, born_ms)
-        if self._limits.take(instance, LimitWord(limit_per_s, now_s, born_ms)):
+        if self._limits.record_limit(instance, LimitNotice(limit_per_s, now_s, born_ms)):
             self._log.event(
                 "target_limit", target=instance, limit_per_s=limit_per_s or "", before=before or ""
             )
@@ -136,7 +138,7 @@
 
 def _bound(kept: dict[InstanceId, Any]) -> None:
     """Forget what was noted first of more targets than are kept."""
-    if len(kept) > KNOWN_AT_MOST:
+    if len(kept) > MAX_TARGETS:
         del kept[next(iter(kept))]
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
@@ -77,7 +77,7 @@
         try:
             call = await self._admission.admit(request, terms)
             self._check_fatal(call)
-            self._budget.requested()
+            self._budget.earn()
             self._serving.asked += 1
             answer = await self._run(call)
             self._calls.answered(call, answer.status)
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitgate.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitgate.py
@@ -6,7 +6,7 @@
 from ochreway_direct.sendlimits.sendwindow import SendWindow
 from ochreway_direct.targetlimits.limitpool import LimitPool
 from ochreway_routing.quota import Quota
-from ochreway_routing.targetlimits import KNOWN_AT_MOST, TargetLimits
+from ochreway_routing.targetlimits import MAX_TARGETS, TargetLimits
 
 
 class LimitGate:
@@ -25,14 +25,14 @@
         limit_per_s = self._limits.limit_per_s(instance, born_ms)
         if limit_per_s is None:
             return 0.0
-        quota = Quota.of(limit_per_s)
+        quota = Quota.for_limit(limit_per_s)
         own = self._pool.requests_of(quota, instance, now_s)
         if not own:
-            return quota.each_s
+            return quota.interval_s
         window = self._windows.get(instance)
         if window is None:
             return 0.0
-        return window.free_in_s(own, now_s, quota.span_s)
+        return window.free_in_s(own, now_s, quota.window_s)
 
     def sent(self, attempt: Attempt) -> None:
         """Count a request that is about to be sent to its target."""
@@ -40,7 +40,7 @@
             self._windows.pop(attempt.instance, None)
             return
         self._windows.setdefault(attempt.instance, SendWindow()).add(attempt)
-        if len(self._windows) > KNOWN_AT_MOST:
+        if len(self._windows) > MAX_TARGETS:
             del self._windows[next(iter(self._windows))]
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitsharing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitsharing.py
@@ -42,7 +42,7 @@
         self._measure(now_s)
         self._pool.beat(order, meshed, self._asked_per_s, now_s)
         self._news = self._spread.news(now_s)
-        self._limited = self._limits.number() > 0
+        self._limited = self._limits.limited_count() > 0
         if self._pool.keeps is not self._kept_pool:
             self._kept_pool = self._pool.keeps
             self._log.event("limit_pool", keeps=self._kept_pool, entries=len(order))
@@ -85,7 +85,7 @@
     def gauges(self, now_s: float) -> dict[str, float]:
         """Return how many targets have a limit, and which part of each this entry has."""
         return {
-            "targets_limited": float(self._limits.number()),
+            "targets_limited": float(self._limits.limited_count()),
             "limit_part": self._pool.part(now_s),
         }
 
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitspread.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitspread.py
@@ -5,7 +5,7 @@
 
 from ochreway_core.ids import InstanceId
 from ochreway_direct.targetlimits.poolnews import LimitNews
-from ochreway_routing.targetlimits import LimitWord, TargetLimits
+from ochreway_routing.targetlimits import LimitNotice, TargetLimits
 
 NEWS_S = 2.0
 """For how long it is told that a limit changed: several heartbeats, some of which may be lost."""
@@ -28,14 +28,14 @@
 
     def news(self, now_s: float) -> tuple[LimitNews, ...]:
         """Return what to tell now."""
-        changed = self._limits.changed(now_s - NEWS_S)[-NEWS_AT_MOST:]
+        changed = self._limits.changed_since(now_s - NEWS_S)[-NEWS_AT_MOST:]
         if not self._turn:
             self._turn = self._limits.targets()
         told = dict.fromkeys((*changed, *self._turn[-IN_TURN:]))
         del self._turn[-IN_TURN:]
-        words = ((target, self._limits.word(target)) for target in told)
+        words = ((target, self._limits.latest_notice(target)) for target in told)
         return tuple(
-            LimitNews(InstanceId(target), word.limit_per_s, now_s - word.heard_s, word.born_ms)
+            LimitNews(InstanceId(target), word.limit_per_s, now_s - word.received_s, word.born_ms)
             for target, word in words
             if word is not None and _told(word, now_s)
         )
@@ -45,12 +45,12 @@
         return [each for each in news if self._take(each, now_s - delay_s, now_s)]
 
     def _take(self, news: LimitNews, told_s: float, now_s: float) -> bool:
-        word = LimitWord(news.limit_per_s, told_s - news.age_s, news.born_ms)
-        return self._limits.take(news.instance, word, now_s)
+        word = LimitNotice(news.limit_per_s, told_s - news.age_s, news.born_ms)
+        return self._limits.record_limit(news.instance, word, now_s)
 
 
-def _told(word: LimitWord, now_s: float) -> bool:
-    return word.limit_per_s is not None or now_s - word.heard_s < OVER_TOLD_S
+def _told(word: LimitNotice, now_s: float) -> bool:
+    return word.limit_per_s is not None or now_s - word.received_s < OVER_TOLD_S
 
 
 __all__ = ["NEWS_AT_MOST", "LimitSpread"]
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/limitgate.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/limitgate.py
@@ -28,7 +28,7 @@
         if limit_per_s is None:
             self._window = SlidingWindow()
         self._limit_per_s = limit_per_s
-        self._quota = Quota.of(limit_per_s) if limit_per_s is not None else None
+        self._quota = Quota.for_limit(limit_per_s) if limit_per_s is not None else None
         return True
 
     @property
@@ -40,7 +40,7 @@
         """Return how soon the target may be handed one more request; 0 if it may now."""
         if self._quota is None:
             return 0.0
-        return self._window.free_in_s(self._quota.requests, self._quota.span_s, now_s)
+        return self._window.free_in_s(self._quota.requests, self._quota.window_s, now_s)
 
     def handed(self, now_s: float) -> None:
         """Count a request that the target is handed now."""
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/serving.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/serving.py
@@ -15,7 +15,7 @@
 from ochreway_core.reason import Reason
 from ochreway_nodes.agent.membership import Membership
 from ochreway_nodes.outbox import Outbox
-from ochreway_routing.estimate import honest_retry_after_s
+from ochreway_routing.estimate import rounded_retry_after_s
 from ochreway_routing.fairqueue import FairQueue
 from ochreway_routing.servicemeter import ServiceMeter
 from ochreway_routing.work import Work
@@ -37,7 +37,7 @@
 
     def __init__(self, membership: Membership, version: Callable[[], int], outbox: Outbox) -> None:
         self.ledger = AttemptLedger()
-        self.queue: FairQueue[AttemptRecord] = FairQueue(at_most=QUEUE_PER_SLOT, slots=1)
+        self.queue: FairQueue[AttemptRecord] = FairQueue(capacity=QUEUE_PER_SLOT, slots=1)
         self._handed: dict[AttemptId, AttemptRecord] = {}
         self._received: dict[NodeId, int] = {}
         self.meter: ServiceMeter[AttemptId] = ServiceMeter()
@@ -97,7 +97,7 @@
         row = self._membership.row
         assert row is not None
         self.queue.slots = row.slots
-        self.queue.at_most = row.slots * QUEUE_PER_SLOT
+        self.queue.capacity = row.slots * QUEUE_PER_SLOT
         prefill_tokens = self.meter.prefill_tokens(submit.blocks, submit.prompt_tokens, now_s)
         work = Work(
             item=record,
@@ -106,12 +106,12 @@
             cost_tokens=float(submit.prompt_tokens + submit.max_tokens),
             prefill_tokens=prefill_tokens,
             deadline_s=now_s + submit.expires_in_s,
-            needed_s=self.meter.needed_s(prefill_tokens, submit.max_tokens),
+            expected_run_s=self.meter.expected_run_s(prefill_tokens, submit.max_tokens),
             queued_s=now_s,
         )
         late_s = self._late_s(work, now_s)
         if late_s > 0:
-            retry_after_s = honest_retry_after_s(late_s)
+            retry_after_s = rounded_retry_after_s(late_s)
             self._end(record, Outcome.NOT_RUN, Reason.DEADLINE_TOO_SHORT, retry_after_s)
             return
         offered = self.queue.offer(work)
@@ -130,7 +130,7 @@
     def _late_s(self, work: Work[AttemptRecord], now_s: float) -> float:
         """Return by how much the work is expected to miss its deadline."""
         wait_s = self.meter.wait_s(*self.queue.ahead_of(work), self.queue.slots)
-        return now_s + wait_s + work.needed_s - work.deadline_s
+        return now_s + wait_s + work.expected_run_s - work.deadline_s
 
     @property
     def next_s(self) -> float:
@@ -140,7 +140,7 @@
     @property
     def backlog_s(self) -> float:
         """Return how long the prefill ahead is expected to take, handed over or queued."""
-        queued = sum(work.prefill_tokens for work in self.queue.waiting())
+        queued = sum(work.prefill_tokens for work in self.queue.iter_queued())
         return self.meter.backlog_s + queued * self.meter.prefill_s_per_token
 
     def last_received(self, entry: NodeId) -> int:
@@ -150,7 +150,7 @@
     def retry_after_s(self) -> float:
         """Return when the queue is expected to have room."""
         turns = (len(self.queue) + 1) / max(self.queue.slots, 1)
-        return honest_retry_after_s(turns * ANSWER_TURN_S)
+        return rounded_retry_after_s(turns * ANSWER_TURN_S)
 
     # Hand-over
 
@@ -160,14 +160,14 @@
             return
         closed = self._membership.turns_away(now_s)
         if closed is not Reason.NONE:
-            for work in self.queue.take_all():
+            for work in self.queue.remove_all():
                 self._end(work.item, Outcome.NOT_RUN, closed, self._closed_s(closed, now_s))
             return
-        for work in self.queue.take_hopeless(now_s, self.meter.backlog_s):
+        for work in self.queue.remove_infeasible(now_s, self.meter.backlog_s):
             retry_after_s = self.retry_after_s()
             self._end(work.item, Outcome.NOT_RUN, Reason.DEADLINE_TOO_SHORT, retry_after_s)
         while self._may_hand_more(now_s):
-            following = self.queue.next()
+            following = self.queue.dequeue()
             if following is None:
                 return
             self._hand_over(following, now_s)
@@ -186,7 +186,7 @@
         record.state = AttemptState.HANDED
         submit = record.submit
         self._handed[submit.attempt] = record
-        self.meter.started(submit.attempt, submit.blocks, work.prefill_tokens, now_s)
+        self.meter.record_start(submit.attempt, submit.blocks, work.prefill_tokens, now_s)
         self._membership.limit.handed(now_s)
         valid_until_s = min(gate.valid_until_s(), work.deadline_s)
         self._outbox.add(HandOver(submit, valid_until_s))
@@ -217,7 +217,7 @@
             return
         answer = record.answer
         offset = answer.length
-        self.meter.first_token(attempt, now_s)
+        self.meter.record_first_token(attempt, now_s)
         answer.add(chunk.payload)
         answer.tokens += chunk.tokens
         answer.status = chunk.status
@@ -306,8 +306,8 @@
         self._outbox.send(sender, Settled(message.attempt, record.outcome, record.reason))
 
     def _withdraw_queued(self, sender: Peer, message: Withdraw, record: AttemptRecord) -> None:
-        chosen = {id(work) for work in self.queue.waiting() if work.item is record}
-        self.queue.remove_if(chosen)
+        chosen = {id(work) for work in self.queue.iter_queued() if work.item is record}
+        self.queue.remove_by_identity(chosen)
         record.state = AttemptState.DONE
         record.reason = Reason.WITHDRAWN
         self._outbox.send(sender, Settled(message.attempt, Outcome.NOT_RUN, Reason.WITHDRAWN))
@@ -354,7 +354,7 @@
 
     def on_epoch_changed(self, now_s: float) -> None:
         """End what belongs to the group that this agent has left."""
-        for work in self.queue.take_all():
+        for work in self.queue.remove_all():
             self._end(work.item, Outcome.NOT_RUN, Reason.STALE_EPOCH, CLOSED_RETRY_S)
         for attempt, record in list(self._handed.items()):
             self._cut(attempt, record, Reason.GROUP_INCOMPLETE, now_s)
@@ -382,9 +382,9 @@
     def _slot_free(self, record: AttemptRecord, now_s: float) -> None:
         submit = record.submit
         assert submit is not None
-        self.meter.ended(submit.attempt, record.answer.tokens, submit.max_tokens, now_s)
+        self.meter.record_end(submit.attempt, record.answer.tokens, submit.max_tokens, now_s)
         self._handed.pop(submit.attempt, None)
-        self.queue.ended(submit.organisation)
+        self.queue.release_slot(submit.organisation)
 
     def _end(
         self, record: AttemptRecord, outcome: Outcome, reason: Reason, retry_after_s: float
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/calls.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/calls.py
@@ -33,7 +33,7 @@
 from ochreway_routing.limits import Limits
 from ochreway_routing.query import RouteQuery
 from ochreway_routing.replica import ReplicaView
-from ochreway_routing.retry import Action, after
+from ochreway_routing.retry import Action, next_action
 from ochreway_routing.router import Router
 
 CREDIT_EVERY_BYTES = 16 * 1024
@@ -192,7 +192,7 @@
             attempt, replica.group, replica.leader, replica.incarnation, now_s, expected_s
         )
         self._by_attempt[attempt] = call
-        self._router.sent(replica, str(attempt), self._sequence, query, now_s)
+        self._router.record_sent(replica, str(attempt), self._sequence, query, now_s)
         self._outbox.count("attempt")
         request = call.request
         submit = Submit(
@@ -251,13 +251,13 @@
     def _learn_first_token(self, attempt: Attempt, now_s: float) -> None:
         replica = self._router.replicas.get(attempt.group)
         if replica is not None:
-            self._router.first_token(replica, attempt.expected_s, now_s - attempt.sent_s)
+            self._router.record_first_token(replica, attempt.expected_s, now_s - attempt.sent_s)
 
     def _answered(self, call: Call, attempt: Attempt, now_s: float) -> None:
         answer = attempt.answer
         assert answer.total is not None
         whole = invariants.answer_is_whole(answer.received, answer.total, str(attempt.attempt))
-        self._router.answered(attempt.group, str(attempt.attempt))
+        self._router.record_answer(attempt.group, str(attempt.attempt))
         self._crashes.finished(call.fingerprint, now_s)
         outcome = Outcome.ANSWERED if whole else Outcome.UNKNOWN
         self._end(call, outcome, Reason.NONE if whole else Reason.ANSWER_SHORT, 0.0)
@@ -288,9 +288,9 @@
             target = InstanceId(call.attempt.peer.node)
             self._crashes.crashed(call.fingerprint, target, now_s)
         if reason in (Reason.BACKOFF, Reason.TARGET_LIMIT):
-            self._router.left_alone(call.attempt.group, now_s + retry_after_s, reason)
+            self._router.back_off(call.attempt.group, now_s + retry_after_s, reason)
         fault = reason not in _NO_FAULT
-        if self._router.failed(call.attempt.group, str(attempt), fault, now_s):
+        if self._router.record_failure(call.attempt.group, str(attempt), fault, now_s):
             self._outbox.count("ejection")
         if self._may_retry(call, outcome, reason):
             self._retry(call, reason, now_s)
@@ -298,10 +298,10 @@
         self._end(call, outcome, reason, retry_after_s)
 
     def _may_retry(self, call: Call, outcome: Outcome, reason: Reason) -> bool:
-        action = after(outcome, reason, call.request.repeatable, call.streamed)
+        action = next_action(outcome, reason, call.request.repeatable, call.streamed)
         if action is not Action.RETRY:
             return False
-        if self._limits.budget(call.request.organisation).spend():
+        if self._limits.retry_budget(call.request.organisation).spend():
             return True
         self._outbox.count("retry.no_budget")
         return False
@@ -403,8 +403,8 @@
             self._by_attempt.pop(call.attempt.attempt, None)
             replica = self._router.replicas.get(call.attempt.group)
             if replica is not None:
-                replica.ended(str(call.attempt.attempt))
-        self._limits.ended(request.organisation, call.tokens)
+                replica.remove_attempt(str(call.attempt.attempt))
+        self._limits.release(request.organisation, call.tokens)
         if outcome is not Outcome.ANSWERED:
             self._outbox.count(f"refusal.{reason.value}")
         self._outbox.count(f"outcome.{outcome.value}")
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/crashes.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/crashes.py
@@ -46,7 +46,7 @@
 
     def asked(self, fingerprint: Fingerprint, now_s: float) -> CrashVerdict:
         """Note that a request is asked for; return whether it may be sent."""
-        verdict = self._book.asked(fingerprint, now_s)
+        verdict = self._book.check_request(fingerprint, now_s)
         if verdict.on_trial:
             self._outbox.count("crash.on_trial")
             self._outbox.log("request_on_trial", fingerprint=fingerprint)
@@ -56,19 +56,21 @@
     def crashed(self, fingerprint: Fingerprint, target: InstanceId, now_s: float) -> None:
         """Note that a target ended under a request."""
         self._outbox.count("crash.under_request")
-        if self._book.crashed(fingerprint, target, now_s):
+        if self._book.record_crash(fingerprint, target, now_s):
             self._note(fingerprint)
             self._tell([fingerprint], self._neighbours, now_s)
 
     def finished(self, fingerprint: Fingerprint, now_s: float) -> None:
         """Note that a target ran a request to its end and goes on."""
-        if self._book.finished(fingerprint, now_s):
+        if self._book.record_completion(fingerprint, now_s):
             self._outbox.count("crash.cleared")
             self._tell([fingerprint], self._neighbours, now_s)
 
     def on_news(self, sender: Peer, news: CrashNews, now_s: float) -> None:
         """Take what another entry tells, pass on what is news, and answer if it asks."""
-        found = [each.fingerprint for each in news.sightings if self._book.hear(each, now_s)]
+        found = [
+            each.fingerprint for each in news.sightings if self._book.merge_sighting(each, now_s)
+        ]
         for fingerprint in found:
             self._note(fingerprint)
         others = tuple(peer for peer in self._neighbours if peer.node != sender.node)
@@ -92,7 +94,7 @@
 
     def _note(self, fingerprint: Fingerprint) -> None:
         """Write what is known of a request that several targets ended under."""
-        crashes = self._book.crashes(fingerprint)
+        crashes = self._book.crash_count(fingerprint)
         if crashes < TOLD_FROM:
             return
         fatal = crashes >= FATAL_CRASHES
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/node.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/node.py
@@ -258,7 +258,7 @@
         return order.index(self.me.node) if self.me.node in order else len(order)
 
     def _on_load_report(self, sender: Peer, report: LoadReport, now_s: float) -> None:
-        self.router.reported(report, now_s)
+        self.router.on_load_report(report, now_s)
 
     def _on_report(self, sender: Peer, report: Report, now_s: float) -> None:
         for controller in self.controllers.values():
--- a/packages/ochreway-routing/src/ochreway_routing/crashrecord.py
+++ b/packages/ochreway-routing/src/ochreway_routing/crashrecord.py
@@ -12,7 +12,7 @@
 Each costs all callers of a target, so fewer would be better; but callers of one lost group meet
 again at the next: of those that were under way at two crashes most are innocent.
 """
-SAME_CRASH_S = 1.5
+SAME_CRASH_WINDOW_S = 1.5
 """Within what time two words of a target's end mean the same one.
 
 A target takes some seconds to come back; words of its end are on their way for less than one.
@@ -32,7 +32,7 @@
 class CrashRecord:
     """Hold the newest crashes under a request since it last came to a good end."""
 
-    asked_s: float
+    last_request_s: float
     crashes: list[Crash] = field(default_factory=list)
     cleared_s: float = NEVER_S
 
@@ -43,31 +43,33 @@
 
     def add(self, crash: Crash) -> bool:
         """Take a crash; return whether it is a further one."""
-        if crash.at_s <= self.cleared_s or any(_same(crash, each) for each in self.crashes):
+        if crash.at_s <= self.cleared_s or any(
+            _is_same_crash(crash, each) for each in self.crashes
+        ):
             return False
         known = [*self.crashes, crash]
         self.crashes = sorted(known, key=lambda each: (each.at_s, each.target))[-FATAL_CRASHES:]
-        self.asked_s = max(self.asked_s, crash.at_s)
+        self.last_request_s = max(self.last_request_s, crash.at_s)
         return crash in self.crashes
 
     def clear(self, at_s: float) -> bool:
-        """Forget the crashes up to a good end; return whether that is news."""
-        news = at_s > self.cleared_s + SAME_CRASH_S
+        """Forget the crashes up to a good end; return whether that is is_new."""
+        is_new = at_s > self.cleared_s + SAME_CRASH_WINDOW_S
         self.cleared_s = max(self.cleared_s, at_s)
         kept = [crash for crash in self.crashes if crash.at_s > self.cleared_s]
-        news = news or len(kept) < len(self.crashes)
+        is_new = is_new or len(kept) < len(self.crashes)
         self.crashes = kept
-        return news
+        return is_new
 
-    def sighting(self, fingerprint: Fingerprint, now_s: float) -> CrashSighting:
+    def to_sighting(self, fingerprint: Fingerprint, now_s: float) -> CrashSighting:
         """Return what to tell others."""
         crashes = tuple(SeenCrash(each.target, now_s - each.at_s) for each in self.crashes)
         cleared_age_s = now_s - self.cleared_s if self.cleared_s > NEVER_S else None
-        return CrashSighting(fingerprint, crashes, now_s - self.asked_s, cleared_age_s)
+        return CrashSighting(fingerprint, crashes, now_s - self.last_request_s, cleared_age_s)
 
 
-def _same(one: Crash, other: Crash) -> bool:
-    return one.target == other.target and abs(one.at_s - other.at_s) < SAME_CRASH_S
+def _is_same_crash(one: Crash, other: Crash) -> bool:
+    return one.target == other.target and abs(one.at_s - other.at_s) < SAME_CRASH_WINDOW_S
 
 
-__all__ = ["FATAL_CRASHES", "NEVER_S", "SAME_CRASH_S", "Crash", "CrashRecord"]
+__all__ = ["FATAL_CRASHES", "NEVER_S", "SAME_CRASH_WINDOW_S", "Crash", "CrashRecord"]
--- a/packages/ochreway-routing/src/ochreway_routing/crashverdict.py
+++ b/packages/ochreway-routing/src/ochreway_routing/crashverdict.py
@@ -15,6 +15,6 @@
     on_trial: bool = False
 
 
-INNOCENT = CrashVerdict()
+NOT_FATAL = CrashVerdict()
 
-__all__ = ["INNOCENT", "CrashVerdict"]
+__all__ = ["NOT_FATAL", "CrashVerdict"]
--- a/packages/ochreway-routing/src/ochreway_routing/ejection.py
+++ b/packages/ochreway-routing/src/ochreway_routing/ejection.py
@@ -13,10 +13,12 @@
     until_s: float = -1.0e9
     returned_s: float = -1.0e9
 
-    def failed(self, now_s: float, failures_allowed: int, base_s: float, max_s: float) -> bool:
+    def record_failure(
+        self, now_s: float, failures_allowed: int, base_s: float, max_s: float
+    ) -> bool:
         """Note a failure; return whether the replica is ejected by it."""
         self.failures += 1
-        if self.failures < failures_allowed or self.ejected(now_s):
+        if self.failures < failures_allowed or self.is_ejected(now_s):
             return False
         self.until_s = now_s + min(max_s, base_s * 2.0 ** min(self.ejections, 8))
         self.returned_s = self.until_s
@@ -25,12 +27,12 @@
         self.failures = failures_allowed - 1
         return True
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Note a success."""
         self.failures = 0
         self.ejections = 0
 
-    def ejected(self, now_s: float) -> bool:
+    def is_ejected(self, now_s: float) -> bool:
         """Tell whether the replica is out."""
         return now_s < self.until_s
 
--- a/packages/ochreway-routing/src/ochreway_routing/estimate.py
+++ b/packages/ochreway-routing/src/ochreway_routing/estimate.py
@@ -10,7 +10,7 @@
 from ochreway_routing.replica import ReplicaView
 from ochreway_routing.tuning import Tuning
 
-TRUST_HALVES_S = 0.5
+REPORT_HALF_LIFE_S = 0.5
 """After how long a report is trusted half, and the average of the replicas for the rest."""
 
 
@@ -19,7 +19,7 @@
     """Hold what is ahead of a request at a replica."""
 
     backlog_s: float
-    busy: float
+    request_count: float
 
 
 def average_load(replicas: Sequence[ReplicaView]) -> Load:
@@ -39,12 +39,14 @@
     With old reports every replica looks alike but for this entry's own work, so that
     entries do not all run to the one that was idle a while ago.
     """
-    trust = math.exp2(-replica.staleness_s(now_s) / TRUST_HALVES_S)
+    trust = math.exp2(-replica.staleness_s(now_s) / REPORT_HALF_LIFE_S)
     reported = replica.in_flight + replica.queued
-    own_s = replica.own_tokens * tuning.prefill_s_per_token
+    own_s = replica.unreported_tokens * tuning.prefill_s_per_token
     return Load(
         average.backlog_s + trust * (replica.backlog_s - average.backlog_s) + own_s,
-        average.busy + trust * (reported - average.busy) + len(replica.own),
+        average.request_count
+        + trust * (reported - average.request_count)
+        + len(replica.unreported),
     )
 
 
@@ -57,13 +59,13 @@
 
 def expected_queue_s(replica: ReplicaView, load: Load, tuning: Tuning) -> float:
     """Return how long what is ahead is expected to take."""
-    over = load.busy + 1 - replica.slots
-    if over <= 0:
+    excess = load.request_count + 1 - replica.slots
+    if excess <= 0:
         return load.backlog_s
-    return load.backlog_s + over * slot_turn_s(replica, tuning)
+    return load.backlog_s + excess * slot_turnover_s(replica, tuning)
 
 
-def slot_turn_s(replica: ReplicaView, tuning: Tuning) -> float:
+def slot_turnover_s(replica: ReplicaView, tuning: Tuning) -> float:
     """Return how often one of the replica's slots is expected to come free."""
     typical_answer_tokens = 128
     return typical_answer_tokens * tuning.decode_s_per_token / max(replica.slots, 1)
@@ -71,10 +73,10 @@
 
 def slow_start_factor(replica: ReplicaView, tuning: Tuning, now_s: float) -> float:
     """Return how much more a replica that has just come back is charged."""
-    back_s = max(replica.opened_s, replica.ejection.returned_s)
-    if now_s - back_s >= tuning.slow_start_s:
+    available_since_s = max(replica.opened_s, replica.ejection.returned_s)
+    if now_s - available_since_s >= tuning.slow_start_s:
         return 1.0
-    age = max((now_s - back_s) / tuning.slow_start_s, 0.0)
+    age = max((now_s - available_since_s) / tuning.slow_start_s, 0.0)
     return 1.0 + 1.5 * (1.0 - age)
 
 
@@ -92,13 +94,13 @@
     load = expected_load(replica, average, tuning, now_s)
     queue_s = expected_queue_s(replica, load, tuning)
     load_s = prefill_s * replica.slowness * prefill_weight + queue_s
-    distance_s = 0.0 if replica.hall == hall else tuning.other_hall_s
+    hall_s = 0.0 if replica.hall == hall else tuning.other_hall_s
     lacks_adapter = bool(query.adapter) and query.adapter not in replica.adapters
     adapter_s = tuning.missing_adapter_s if lacks_adapter else 0.0
-    return load_s * slow_start_factor(replica, tuning, now_s) + distance_s + adapter_s
+    return load_s * slow_start_factor(replica, tuning, now_s) + hall_s + adapter_s
 
 
-def honest_retry_after_s(wait_s: float) -> float:
+def rounded_retry_after_s(wait_s: float) -> float:
     """Return when to come back, rounded up to whole seconds as HTTP wants it."""
     return float(max(1, math.ceil(min(wait_s, 60.0))))
 
@@ -110,7 +112,7 @@
     "expected_load",
     "expected_prefill_tokens",
     "expected_queue_s",
-    "honest_retry_after_s",
-    "slot_turn_s",
+    "rounded_retry_after_s",
+    "slot_turnover_s",
     "slow_start_factor",
 ]
--- a/packages/ochreway-routing/src/ochreway_routing/limits.py
+++ b/packages/ochreway-routing/src/ochreway_routing/limits.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class _Use:
+class _Usage:
     in_flight: int = 0
     tokens_in_flight: int = 0
     rate_balance: float | None = None
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self._organisations: dict[str, Organisation] = {}
         self._entries = 1
-        self._use: dict[str, _Use] = {}
+        self._usage: dict[str, _Usage] = {}
         self._budgets: dict[str, RetryBudget] = {}
 
     def configure(self, organisations: list[Organisation], entries: int) -> None:
@@ -35,7 +35,7 @@
         self._organisations = {item.name: item for item in organisations}
         self._entries = max(entries, 1)
 
-    def budget(self, organisation: str) -> RetryBudget:
+    def retry_budget(self, organisation: str) -> RetryBudget:
         """Return the organisation's retry budget."""
         return self._budgets.setdefault(organisation, RetryBudget())
 
@@ -44,42 +44,42 @@
         limit = self._organisations.get(organisation)
         if limit is None:
             return Err(Refused(Reason.UNAUTHORISED, 0.0))
-        use = self._use.setdefault(organisation, _Use())
-        self._refill(use, limit, now_s)
-        if use.in_flight >= self._part(limit.max_in_flight):
+        usage = self._usage.setdefault(organisation, _Usage())
+        self._refill(usage, limit, now_s)
+        if usage.in_flight >= self._entry_share(limit.max_in_flight):
             return Err(Refused(Reason.ORGANISATION_IN_FLIGHT, 1.0))
-        if use.tokens_in_flight and use.tokens_in_flight + tokens > self._part(
+        if usage.tokens_in_flight and usage.tokens_in_flight + tokens > self._entry_share(
             limit.max_tokens_in_flight
         ):
             return Err(Refused(Reason.ORGANISATION_IN_FLIGHT, 1.0))
-        assert use.rate_balance is not None
-        if use.rate_balance < 1.0:
-            wait_s = (1.0 - use.rate_balance) * self._entries / limit.requests_per_s
+        assert usage.rate_balance is not None
+        if usage.rate_balance < 1.0:
+            wait_s = (1.0 - usage.rate_balance) * self._entries / limit.requests_per_s
             return Err(Refused(Reason.ORGANISATION_RATE, wait_s))
-        use.rate_balance -= 1.0
-        use.in_flight += 1
-        use.tokens_in_flight += tokens
-        self.budget(organisation).requested()
+        usage.rate_balance -= 1.0
+        usage.in_flight += 1
+        usage.tokens_in_flight += tokens
+        self.retry_budget(organisation).earn()
         return Ok(None)
 
-    def ended(self, organisation: str, tokens: int) -> None:
+    def release(self, organisation: str, tokens: int) -> None:
         """Count a request out."""
-        use = self._use.get(organisation)
-        if use is not None:
-            use.in_flight -= 1
-            use.tokens_in_flight -= tokens
+        usage = self._usage.get(organisation)
+        if usage is not None:
+            usage.in_flight -= 1
+            usage.tokens_in_flight -= tokens
 
-    def _part(self, limit: int) -> int:
+    def _entry_share(self, limit: int) -> int:
         return max(1, -(-limit // self._entries))
 
-    def _refill(self, use: _Use, limit: Organisation, now_s: float) -> None:
+    def _refill(self, usage: _Usage, limit: Organisation, now_s: float) -> None:
         rate = limit.requests_per_s / self._entries
         burst = max(1.0, rate * BURST_S)
-        if use.rate_balance is None:
-            use.rate_balance = burst
+        if usage.rate_balance is None:
+            usage.rate_balance = burst
         else:
-            use.rate_balance = min(burst, use.rate_balance + (now_s - use.refilled_s) * rate)
-        use.refilled_s = now_s
+            usage.rate_balance = min(burst, usage.rate_balance + (now_s - usage.refilled_s) * rate)
+        usage.refilled_s = now_s
 
 
 __all__ = ["Limits"]
--- a/packages/ochreway-routing/src/ochreway_routing/policies/leastloaded.py
+++ b/packages/ochreway-routing/src/ochreway_routing/policies/leastloaded.py
@@ -21,4 +21,4 @@
 
 
 def _load(replica: ReplicaView) -> float:
-    return (replica.in_flight + replica.queued + len(replica.own)) / replica.slots
+    return (replica.in_flight + replica.queued + len(replica.unreported)) / replica.slots
--- a/packages/ochreway-routing/src/ochreway_routing/prefix.py
+++ b/packages/ochreway-routing/src/ochreway_routing/prefix.py
@@ -10,10 +10,10 @@
 
 BLOCK_BYTES = 256
 BLOCK_TOKENS = 64
-BLOCKS_AT_MOST = 64
+MAX_BLOCKS = 64
 
 
-def blocks_of(target: str, prompt: bytes) -> tuple[int, ...]:
+def prompt_block_hashes(target: str, prompt: bytes) -> tuple[int, ...]:
     """Return the chained hashes of the prompt's whole leading blocks.
 
     Args:
@@ -22,12 +22,12 @@
     """
     chain = xxhash.xxh64_intdigest(target.encode())
     hashes = []
-    whole = min(len(prompt) // BLOCK_BYTES, BLOCKS_AT_MOST)
-    for index in range(whole):
+    block_count = min(len(prompt) // BLOCK_BYTES, MAX_BLOCKS)
+    for index in range(block_count):
         block = prompt[index * BLOCK_BYTES : (index + 1) * BLOCK_BYTES]
         chain = xxhash.xxh64_intdigest(block, seed=chain)
         hashes.append(chain)
     return tuple(hashes)
 
 
-__all__ = ["BLOCKS_AT_MOST", "BLOCK_BYTES", "BLOCK_TOKENS", "blocks_of"]
+__all__ = ["MAX_BLOCKS", "BLOCK_BYTES", "BLOCK_TOKENS", "prompt_block_hashes"]
--- a/packages/ochreway-routing/src/ochreway_routing/prefixindex.py
+++ b/packages/ochreway-routing/src/ochreway_routing/prefixindex.py
@@ -5,35 +5,35 @@
 from collections import OrderedDict
 
 HALF_LIFE_S = 120.0
-ENTRIES_AT_MOST = 8192
+MAX_INDEXED_BLOCKS = 8192
 
 
 class PrefixIndex:
     """Remember blocks by when they were last known to be cached, least recent first."""
 
-    def __init__(self, at_most: int = ENTRIES_AT_MOST) -> None:
-        self._at_most = at_most
-        self._seen_s: OrderedDict[int, float] = OrderedDict()
+    def __init__(self, capacity: int = MAX_INDEXED_BLOCKS) -> None:
+        self._capacity = capacity
+        self._last_seen_s: OrderedDict[int, float] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._seen_s)
+        return len(self._last_seen_s)
 
     def add(self, blocks: tuple[int, ...], now_s: float) -> None:
         """Note that the blocks are cached."""
         for block in blocks:
-            self._seen_s[block] = now_s
-            self._seen_s.move_to_end(block)
-        while len(self._seen_s) > self._at_most:
-            self._seen_s.popitem(last=False)
+            self._last_seen_s[block] = now_s
+            self._last_seen_s.move_to_end(block)
+        while len(self._last_seen_s) > self._capacity:
+            self._last_seen_s.popitem(last=False)
 
     def remove(self, blocks: tuple[int, ...]) -> None:
         """Note that the blocks were evicted."""
         for block in blocks:
-            self._seen_s.pop(block, None)
+            self._last_seen_s.pop(block, None)
 
     def clear(self) -> None:
         """Forget everything: the engine started anew."""
-        self._seen_s.clear()
+        self._last_seen_s.clear()
 
     def expected_blocks(self, blocks: tuple[int, ...], now_s: float) -> float:
         """Return how many leading blocks are expected to be cached, discounted by age.
@@ -41,16 +41,16 @@
         A block is cached only behind those before it, so the deepest known one counts for
         all of them: events of some may have been lost.
         """
-        if not self._seen_s:
+        if not self._last_seen_s:
             return 0.0
-        known = self._seen_s.get
+        get_seen_s = self._last_seen_s.get
         depth = len(blocks)
         for block in reversed(blocks):
-            seen_s = known(block)
+            seen_s = get_seen_s(block)
             if seen_s is not None:
                 return depth * math.exp2((seen_s - now_s) / HALF_LIFE_S)
             depth -= 1
         return 0.0
 
 
-__all__ = ["ENTRIES_AT_MOST", "HALF_LIFE_S", "PrefixIndex"]
+__all__ = ["MAX_INDEXED_BLOCKS", "HALF_LIFE_S", "PrefixIndex"]
--- a/packages/ochreway-routing/src/ochreway_routing/quota.py
+++ b/packages/ochreway-routing/src/ochreway_routing/quota.py
@@ -4,13 +4,13 @@
 import math
 from dataclasses import dataclass
 
-BURST = 3
+BURST_REQUESTS = 3
 """How many requests more than a second's worth are counted in a span, so that they can be shared.
 
 A limit of 1 a second is kept as 4 in any 4 s: four entries may have one each. In any time the
 target gets no more than its limit allows and a span's worth.
 """
-LEAST_PER_S = 1.0 / 60.0
+MIN_RATE_PER_S = 1.0 / 60.0
 """The lowest rate that is gone by: its target is asked once a minute, or its end is never heard."""
 
 
@@ -19,19 +19,19 @@
     """Hold how many requests a target may be sent within any span of a length."""
 
     requests: int
-    span_s: float
+    window_s: float
 
     @classmethod
-    def of(cls, limit_per_s: float) -> "Quota":
+    def for_limit(cls, limit_per_s: float) -> "Quota":
         """Return the quota that comes to a limit."""
-        rate_per_s = max(limit_per_s, LEAST_PER_S)
-        requests = math.floor(rate_per_s) + BURST
+        rate_per_s = max(limit_per_s, MIN_RATE_PER_S)
+        requests = math.floor(rate_per_s) + BURST_REQUESTS
         return cls(requests, requests / rate_per_s)
 
     @property
-    def each_s(self) -> float:
+    def interval_s(self) -> float:
         """Return how long it takes on average until one more request may be sent by anybody."""
-        return self.span_s / self.requests
+        return self.window_s / self.requests
 
 
-__all__ = ["BURST", "LEAST_PER_S", "Quota"]
+__all__ = ["BURST_REQUESTS", "MIN_RATE_PER_S", "Quota"]
--- a/packages/ochreway-routing/src/ochreway_routing/replica.py
+++ b/packages/ochreway-routing/src/ochreway_routing/replica.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class Sent:
+class SentAttempt:
     """Hold what an attempt adds to a replica's load."""
 
     sequence: int
@@ -44,16 +44,16 @@
     reported_s: float = NEVER_S
     opened_s: float = NEVER_S
     reopens_s: float = NEVER_S
-    asked: Reason = Reason.BACKOFF
+    backoff_reason: Reason = Reason.BACKOFF
     """Why it takes nothing until then."""
     slowness: float = 1.0
-    own: dict[str, Sent] = field(default_factory=dict)
+    unreported: dict[str, SentAttempt] = field(default_factory=dict)
     """What this entry sent too late for the last report to include, oldest first."""
-    own_tokens: float = 0.0
+    unreported_tokens: float = 0.0
     prefixes: PrefixIndex = field(default_factory=PrefixIndex)
     ejection: Ejection = field(default_factory=Ejection)
 
-    def reported(self, report: LoadReport, now_s: float) -> None:
+    def on_load_report(self, report: LoadReport, now_s: float) -> None:
         """Take in a load report."""
         if report.incarnation != self.incarnation:
             self.prefixes.clear()
@@ -63,34 +63,34 @@
         self.incarnation = report.incarnation
         self.gate = report.gate
         self.reopens_s = now_s + report.reopens_in_s if report.reopens_in_s else NEVER_S
-        self.asked = report.gate
+        self.backoff_reason = report.gate
         self.in_flight = report.in_flight
         self.queued = report.queued
         self.backlog_s = report.backlog_s
         self.next_s = report.next_s
-        self._forget_reported(report.received)
+        self._remove_reported(report.received)
         self.slots = report.slots
         self.reported_s = now_s
         self.prefixes.add(report.cached, now_s)
         self.prefixes.remove(report.evicted)
 
-    def sent(self, attempt: str, sent: Sent) -> None:
+    def add_attempt(self, attempt: str, sent: SentAttempt) -> None:
         """Count an attempt until a report includes it or it ends."""
-        self.own[attempt] = sent
-        self.own_tokens += sent.prefill_tokens
+        self.unreported[attempt] = sent
+        self.unreported_tokens += sent.prefill_tokens
 
-    def ended(self, attempt: str) -> None:
+    def remove_attempt(self, attempt: str) -> None:
         """Count an attempt out."""
-        sent = self.own.pop(attempt, None)
+        sent = self.unreported.pop(attempt, None)
         if sent is not None:
-            self.own_tokens -= sent.prefill_tokens
+            self.unreported_tokens -= sent.prefill_tokens
 
-    def _forget_reported(self, received: int) -> None:
-        while self.own:
-            attempt, oldest = next(iter(self.own.items()))
+    def _remove_reported(self, received: int) -> None:
+        while self.unreported:
+            attempt, oldest = next(iter(self.unreported.items()))
             if oldest.sequence > received:
                 return
-            self.ended(attempt)
+            self.remove_attempt(attempt)
 
     def staleness_s(self, now_s: float) -> float:
         """Return how old the last report's content is at least.
@@ -98,27 +98,27 @@
         The oldest of this entry's attempts that it does not include tells, without a clock
         that both ends share.
         """
-        for oldest in self.own.values():
+        for oldest in self.unreported.values():
             return now_s - min(oldest.sent_s, self.reported_s)
         return now_s - self.reported_s
 
-    def left_alone(self, until_s: float, asked: Reason = Reason.BACKOFF) -> None:
+    def back_off(self, until_s: float, reason: Reason = Reason.BACKOFF) -> None:
         """Send nothing until a time, as the target asked or will not take anything."""
         if until_s > self.reopens_s:
-            self.reopens_s, self.asked = until_s, asked
+            self.reopens_s, self.backoff_reason = until_s, reason
 
     def backoff_s(self, now_s: float) -> float:
         """Return for how much longer the replica is to get nothing."""
         return max(0.0, self.reopens_s - now_s)
 
-    def takes_work(self, now_s: float, fresh_s: float) -> bool:
+    def accepts_work(self, now_s: float, max_report_age_s: float) -> bool:
         """Tell whether the replica is known to take work."""
         if self.backoff_s(now_s):
             return False
         if self.legacy_percent:
             return True
-        fresh = now_s - self.reported_s <= fresh_s
+        fresh = now_s - self.reported_s <= max_report_age_s
         return fresh and self.gate is Reason.NONE and not self.leaving
 
 
-__all__ = ["NEVER_S", "ReplicaView", "Sent"]
+__all__ = ["NEVER_S", "ReplicaView", "SentAttempt"]
--- a/packages/ochreway-routing/src/ochreway_routing/retry.py
+++ b/packages/ochreway-routing/src/ochreway_routing/retry.py
@@ -42,11 +42,11 @@
 )
 
 
-def after(outcome: Outcome, reason: Reason, repeatable: bool, streamed: bool) -> Action:
+def next_action(outcome: Outcome, reason: Reason, repeatable: bool, streamed: bool) -> Action:
     """Return what follows an attempt's end."""
     if reason in _FINAL_REASONS:
         return Action.ANSWER
     return _ACTIONS[outcome, repeatable, streamed]
 
 
-__all__ = ["Action", "after"]
+__all__ = ["Action", "next_action"]
--- a/packages/ochreway-routing/src/ochreway_routing/retrybudget.py
+++ b/packages/ochreway-routing/src/ochreway_routing/retrybudget.py
@@ -9,12 +9,12 @@
     """Earn a share of a retry with each request and pay a whole one for each retry."""
 
     share: float = 0.15
-    at_most: float = 20.0
+    max_balance: float = 20.0
     balance: float = 5.0
 
-    def requested(self) -> None:
+    def earn(self) -> None:
         """Note a new request."""
-        self.balance = min(self.at_most, self.balance + self.share)
+        self.balance = min(self.max_balance, self.balance + self.share)
 
     def spend(self) -> bool:
         """Pay for a retry; return whether it is covered."""
--- a/packages/ochreway-routing/src/ochreway_routing/router.py
+++ b/packages/ochreway-routing/src/ochreway_routing/router.py
@@ -15,17 +15,17 @@
     average_load,
     expected_first_token_s,
     expected_prefill_tokens,
-    honest_retry_after_s,
+    rounded_retry_after_s,
 )
 from ochreway_routing.policy import POLICIES
 from ochreway_routing.query import RouteQuery
 from ochreway_routing.refused import Refused
-from ochreway_routing.replica import ReplicaView, Sent
-from ochreway_routing.servicemeter import EXPECTED_TOKENS_AT_MOST
+from ochreway_routing.replica import ReplicaView, SentAttempt
+from ochreway_routing.servicemeter import MAX_EXPECTED_TOKENS
 from ochreway_routing.tuning import Tuning
 
 DEFAULT_POLICY = "cost"
-CLOSED_RETRY_S = 2.0
+CLOSED_RETRY_DELAY_S = 2.0
 
 
 class Router:
@@ -46,24 +46,24 @@
 
     def set_replicas(self, replicas: Iterable[ReplicaView]) -> None:
         """Take the groups that exist now, keeping what is known of those that stay."""
-        fresh = {each.group: each for each in replicas}
-        for group, replica in fresh.items():
+        updated = {each.group: each for each in replicas}
+        for group, replica in updated.items():
             known = self.replicas.get(group)
             if known is not None and known.leader == replica.leader:
                 known.target, known.hall = replica.target, replica.hall
                 known.leaving, known.adapters = replica.leaving, replica.adapters
                 known.legacy_percent = replica.legacy_percent
-                fresh[group] = known
-        self.replicas = fresh
+                updated[group] = known
+        self.replicas = updated
         self._by_target = {}
-        for replica in fresh.values():
+        for replica in updated.values():
             self._by_target.setdefault(replica.target, []).append(replica)
 
-    def reported(self, report: LoadReport, now_s: float) -> None:
+    def on_load_report(self, report: LoadReport, now_s: float) -> None:
         """Take in a load report."""
         replica = self.replicas.get(report.group)
         if replica is not None:
-            replica.reported(report, now_s)
+            replica.on_load_report(report, now_s)
 
     def choose(
         self, query: RouteQuery, tried: frozenset[GroupId], now_s: float
@@ -71,19 +71,21 @@
         """Choose a replica that was not tried, or say why there is none."""
         known = self._by_target.get(query.target, [])
         if not known:
-            return Err(Refused(Reason.NO_GROUP, CLOSED_RETRY_S))
-        taking = [each for each in known if each.takes_work(now_s, self.tuning.report_fresh_s)]
-        untried = [each for each in taking if each.group not in tried]
-        untried = self._legacy_or_own(query, untried)
+            return Err(Refused(Reason.NO_GROUP, CLOSED_RETRY_DELAY_S))
+        accepting = [
+            each for each in known if each.accepts_work(now_s, self.tuning.max_report_age_s)
+        ]
+        untried = [each for each in accepting if each.group not in tried]
+        untried = self._apply_legacy_share(query, untried)
         if not untried:
-            return Err(_closed(known, now_s))
-        chosen = self._policy.choose(query, self._not_ejected(untried, known, now_s), now_s)
+            return Err(_refusal(known, now_s))
+        chosen = self._policy.choose(query, self._without_ejected(untried, known, now_s), now_s)
         # The queue's order is the leader's to know; here only the hopeless is refused.
         prefill_s = expected_prefill_tokens(query, chosen, now_s) * self.tuning.prefill_s_per_token
         wait_s = chosen.next_s + prefill_s + self._decode_s(query)
         left_s = query.deadline_s - now_s
         if wait_s > left_s:
-            return Err(Refused(Reason.DEADLINE_TOO_SHORT, honest_retry_after_s(wait_s - left_s)))
+            return Err(Refused(Reason.DEADLINE_TOO_SHORT, rounded_retry_after_s(wait_s - left_s)))
         return Ok(chosen)
 
     def expected_first_token_s(
@@ -95,52 +97,56 @@
 
     def _decode_s(self, query: RouteQuery) -> float:
         tuning = self.tuning
-        tokens = min(query.max_tokens * tuning.answer_share, EXPECTED_TOKENS_AT_MOST)
+        tokens = min(query.max_tokens * tuning.answer_share, MAX_EXPECTED_TOKENS)
         return tokens * tuning.decode_s_per_token
 
-    def _legacy_or_own(self, query: RouteQuery, replicas: list[ReplicaView]) -> list[ReplicaView]:
+    def _apply_legacy_share(
+        self, query: RouteQuery, replicas: list[ReplicaView]
+    ) -> list[ReplicaView]:
         """Keep the targets of the operators' old tools for their share, the groups else."""
         percent = max((each.legacy_percent for each in replicas), default=0)
         to_legacy = percent > 0 and weight("legacy", query.share_key) % 100 < percent
         return [each for each in replicas if bool(each.legacy_percent) == to_legacy]
 
-    def _not_ejected(
+    def _without_ejected(
         self, untried: list[ReplicaView], known: list[ReplicaView], now_s: float
     ) -> list[ReplicaView]:
-        kept = [each for each in untried if not each.ejection.ejected(now_s)]
-        ejected = sum(each.ejection.ejected(now_s) for each in known)
-        if kept and ejected <= len(known) * self.tuning.ejection_share_at_most:
-            return kept
+        remaining = [each for each in untried if not each.ejection.is_ejected(now_s)]
+        ejected = sum(each.ejection.is_ejected(now_s) for each in known)
+        if remaining and ejected <= len(known) * self.tuning.max_ejected_share:
+            return remaining
         return untried
 
-    def sent(
+    def record_sent(
         self, replica: ReplicaView, attempt: str, sequence: int, query: RouteQuery, now_s: float
     ) -> None:
         """Note that an attempt was sent to a replica."""
         tokens = expected_prefill_tokens(query, replica, now_s)
-        replica.sent(attempt, Sent(sequence, now_s, tokens))
+        replica.add_attempt(attempt, SentAttempt(sequence, now_s, tokens))
         replica.prefixes.add(query.blocks, now_s)
 
-    def first_token(self, replica: ReplicaView, expected_s: float, took_s: float) -> None:
+    def record_first_token(self, replica: ReplicaView, expected_s: float, took_s: float) -> None:
         """Learn how slow the replica is from one first token."""
         ratio = min(max(took_s / max(expected_s, 0.02), 0.5), 20.0)
         weight = self.tuning.slowness_weight
         replica.slowness = max(1.0, (1.0 - weight) * replica.slowness + weight * ratio)
 
-    def answered(self, group: GroupId, attempt: str) -> None:
+    def record_answer(self, group: GroupId, attempt: str) -> None:
         """Note that an attempt ended well."""
         replica = self.replicas.get(group)
         if replica is not None:
-            replica.ended(attempt)
-            replica.ejection.succeeded()
+            replica.remove_attempt(attempt)
+            replica.ejection.record_success()
 
-    def left_alone(self, group: GroupId, until_s: float, asked: Reason = Reason.BACKOFF) -> None:
+    def back_off(self, group: GroupId, until_s: float, reason: Reason = Reason.BACKOFF) -> None:
         """Choose a replica no more until a time, as its target asked."""
         replica = self.replicas.get(group)
         if replica is not None:
-            replica.left_alone(until_s, asked)
+            replica.back_off(until_s, reason)
 
-    def failed(self, group: GroupId, attempt: str, fault: bool, now_s: float) -> bool:
+    def record_failure(
+        self, group: GroupId, attempt: str, replica_at_fault: bool, now_s: float
+    ) -> bool:
         """Note that an attempt ended badly; return whether its replica is ejected by it.
 
         Args:
@@ -152,23 +158,23 @@
         replica = self.replicas.get(group)
         if replica is None:
             return False
-        replica.ended(attempt)
-        if not fault:
+        replica.remove_attempt(attempt)
+        if not replica_at_fault:
             return False
         tuning = self.tuning
-        return replica.ejection.failed(
+        return replica.ejection.record_failure(
             now_s, tuning.ejection_failures, tuning.ejection_s, tuning.ejection_max_s
         )
 
 
-def _closed(known: list[ReplicaView], now_s: float) -> Refused:
+def _refusal(known: list[ReplicaView], now_s: float) -> Refused:
     """Return the refusal when no replica takes work, with the true time where one is known."""
-    waiting = [each for each in known if each.backoff_s(now_s)]
-    if waiting:
-        first = min(waiting, key=lambda each: each.backoff_s(now_s))
-        return Refused(first.asked, first.backoff_s(now_s))
+    backing_off = [each for each in known if each.backoff_s(now_s)]
+    if backing_off:
+        first = min(backing_off, key=lambda each: each.backoff_s(now_s))
+        return Refused(first.backoff_reason, first.backoff_s(now_s))
     reasons = [each.gate for each in known if each.gate is not Reason.NONE]
-    return Refused(reasons[0] if reasons else Reason.GROUP_INCOMPLETE, CLOSED_RETRY_S)
+    return Refused(reasons[0] if reasons else Reason.GROUP_INCOMPLETE, CLOSED_RETRY_DELAY_S)
 
 
 __all__ = ["DEFAULT_POLICY", "Router"]
--- a/packages/ochreway-routing/src/ochreway_routing/servicemeter.py
+++ b/packages/ochreway-routing/src/ochreway_routing/servicemeter.py
@@ -10,9 +10,9 @@
 K = TypeVar("K")
 
 LEARN_WEIGHT = 0.1
-LEARN_TOKENS_AT_LEAST = 32
-ANSWER_TOKENS_AT_LEAST = 2
-EXPECTED_TOKENS_AT_MOST = 512
+MIN_LEARN_TOKENS = 32
+MIN_ANSWER_TOKENS = 2
+MAX_EXPECTED_TOKENS = 512
 """Callers often allow far more tokens than they get; no more than this is held against them."""
 
 
@@ -38,16 +38,16 @@
     prefixes: PrefixIndex = field(default_factory=PrefixIndex)
     outstanding_tokens: float = 0.0
     _running: dict[K, _Running] = field(default_factory=dict)
-    _last_first_s: float = -1.0e9
+    _last_first_token_s: float = -1.0e9
 
     def prefill_tokens(self, blocks: tuple[int, ...], prompt_tokens: int, now_s: float) -> float:
         """Return the prompt's tokens less those expected to be cached."""
         cached = self.prefixes.expected_blocks(blocks, now_s) * BLOCK_TOKENS
         return max(prompt_tokens - cached, 1.0)
 
-    def needed_s(self, prefill_tokens: float, max_tokens: int) -> float:
+    def expected_run_s(self, prefill_tokens: float, max_tokens: int) -> float:
         """Return how long a request is expected to run once its prefill begins."""
-        tokens = min(max_tokens * self.answer_share, EXPECTED_TOKENS_AT_MOST)
+        tokens = min(max_tokens * self.answer_share, MAX_EXPECTED_TOKENS)
         decode_s = tokens * self.decode_s_per_token
         return prefill_tokens * self.prefill_s_per_token + decode_s
 
@@ -58,42 +58,42 @@
 
     def wait_s(self, ahead: int, ahead_tokens: float, slots: int) -> float:
         """Return how long work waits for its prefill with so much ahead in the queue."""
-        over = max(0, len(self._running) + ahead + 1 - slots)
+        excess = max(0, len(self._running) + ahead + 1 - slots)
         prefill_s = ahead_tokens * self.prefill_s_per_token
-        return self.backlog_s + max(prefill_s, over * self.run_s / slots)
+        return self.backlog_s + max(prefill_s, excess * self.run_s / slots)
 
     @property
     def backlog_s(self) -> float:
         """Return how long the prefill that was handed over is expected to take."""
         return self.outstanding_tokens * self.prefill_s_per_token
 
-    def started(self, key: K, blocks: tuple[int, ...], tokens: float, now_s: float) -> None:
+    def record_start(self, key: K, blocks: tuple[int, ...], tokens: float, now_s: float) -> None:
         """Note a hand-over."""
         self._running[key] = _Running(now_s, tokens)
         self.outstanding_tokens += tokens
         self.prefixes.add(blocks, now_s)
 
-    def first_token(self, key: K, now_s: float) -> None:
+    def record_first_token(self, key: K, now_s: float) -> None:
         """Note that a request's prefill is done, and learn from how long it took."""
         running = self._running.get(key)
         if running is None or running.first_token_s is not None:
             return
         running.first_token_s = now_s
         self.outstanding_tokens -= running.prefill_tokens
-        took_s = now_s - max(running.started_s, self._last_first_s)
-        self._last_first_s = now_s
-        if running.prefill_tokens >= LEARN_TOKENS_AT_LEAST:
+        took_s = now_s - max(running.started_s, self._last_first_token_s)
+        self._last_first_token_s = now_s
+        if running.prefill_tokens >= MIN_LEARN_TOKENS:
             rate = took_s / running.prefill_tokens
             self.prefill_s_per_token += LEARN_WEIGHT * (rate - self.prefill_s_per_token)
 
-    def ended(self, key: K, tokens: int, max_tokens: int, now_s: float) -> None:
+    def record_end(self, key: K, tokens: int, max_tokens: int, now_s: float) -> None:
         """Note a request's end, and learn from a whole answer."""
         running = self._running.pop(key, None)
         if running is None:
             return
         if running.first_token_s is None:
             self.outstanding_tokens -= running.prefill_tokens
-        elif tokens >= ANSWER_TOKENS_AT_LEAST:
+        elif tokens >= MIN_ANSWER_TOKENS:
             rate = (now_s - running.first_token_s) / tokens
             self.decode_s_per_token += LEARN_WEIGHT * (rate - self.decode_s_per_token)
             self.run_s += LEARN_WEIGHT * (now_s - running.started_s - self.run_s)
@@ -101,4 +101,4 @@
             self.answer_share += LEARN_WEIGHT * (share - self.answer_share)
 
 
-__all__ = ["EXPECTED_TOKENS_AT_MOST", "ServiceMeter"]
+__all__ = ["MAX_EXPECTED_TOKENS", "ServiceMeter"]
--- a/packages/ochreway-routing/src/ochreway_routing/slidingwindow.py
+++ b/packages/ochreway-routing/src/ochreway_routing/slidingwindow.py
@@ -14,12 +14,12 @@
         """Count a request that is sent now."""
         self._sent_s.append(now_s)
 
-    def free_in_s(self, at_most: int, span_s: float, now_s: float) -> float:
+    def free_in_s(self, max_requests: int, window_s: float, now_s: float) -> float:
         """Return after what time fewer than so many were sent within a span; 0 if it is so now."""
-        while self._sent_s and now_s - self._sent_s[0] >= span_s:
+        while self._sent_s and now_s - self._sent_s[0] >= window_s:
             self._sent_s.popleft()
-        surplus = len(self._sent_s) - at_most
-        return self._sent_s[surplus] + span_s - now_s if surplus >= 0 else 0.0
+        excess = len(self._sent_s) - max_requests
+        return self._sent_s[excess] + window_s - now_s if excess >= 0 else 0.0
 
 
 __all__ = ["SlidingWindow"]
--- a/packages/ochreway-routing/src/ochreway_routing/tuning.py
+++ b/packages/ochreway-routing/src/ochreway_routing/tuning.py
@@ -19,12 +19,12 @@
     prefill_weight: float = 3.0
     pressure_weight: float = 20.0
     other_hall_s: float = 0.002
-    report_fresh_s: float = 6.0
+    max_report_age_s: float = 6.0
     missing_adapter_s: float = 1.0
     ejection_failures: int = 4
     ejection_s: float = 5.0
     ejection_max_s: float = 60.0
-    ejection_share_at_most: float = 0.5
+    max_ejected_share: float = 0.5
     slow_start_s: float = 10.0
     slowness_weight: float = 0.2
 
--- a/packages/ochreway-routing/src/ochreway_routing/work.py
+++ b/packages/ochreway-routing/src/ochreway_routing/work.py
@@ -22,7 +22,7 @@
     cost_tokens: float
     prefill_tokens: float
     deadline_s: float
-    needed_s: float
+    expected_run_s: float
     queued_s: float
 
 
--- a/packages/ochreway-standins/src/ochreway_standins/policybench/fakereplica.py
+++ b/packages/ochreway-standins/src/ochreway_standins/policybench/fakereplica.py
@@ -59,7 +59,7 @@
     meter: ServiceMeter[int] = field(default_factory=ServiceMeter)
     received: dict[int, int] = field(default_factory=dict)
     queue: FairQueue[Job] = field(
-        default_factory=lambda: FairQueue(at_most=SLOTS * QUEUE_PER_SLOT, slots=SLOTS)
+        default_factory=lambda: FairQueue(capacity=SLOTS * QUEUE_PER_SLOT, slots=SLOTS)
     )
 
     def submit(self, job: Job) -> None:
@@ -74,11 +74,11 @@
             float(ask.prompt_tokens + ask.max_tokens),
             tokens,
             ask.deadline_s,
-            self.meter.needed_s(tokens, ask.max_tokens),
+            self.meter.expected_run_s(tokens, ask.max_tokens),
             now_s,
         )
         wait_s = self.meter.wait_s(*self.queue.ahead_of(work), SLOTS)
-        if now_s + wait_s + work.needed_s > work.deadline_s:
+        if now_s + wait_s + work.expected_run_s > work.deadline_s:
             job.refused(Reason.DEADLINE_TOO_SHORT)
             return
         offered = self.queue.offer(work)
@@ -91,10 +91,10 @@
         self._dispatch()
 
     def _dispatch(self) -> None:
-        for work in self.queue.take_hopeless(self.clock.now_s, self.meter.backlog_s):
+        for work in self.queue.remove_infeasible(self.clock.now_s, self.meter.backlog_s):
             work.item.refused(Reason.DEADLINE_TOO_SHORT)
         while self.running < SLOTS and self.meter.backlog_s < PREFILL_AHEAD_S:
-            following = self.queue.next()
+            following = self.queue.dequeue()
             if following is None:
                 return
             self._start(following.item)
@@ -109,7 +109,7 @@
             return
         now_s = self.clock.now_s
         tokens = self._expected_tokens(job.ask)
-        self.meter.started(job.ask.number, job.ask.blocks, tokens, now_s)
+        self.meter.record_start(job.ask.number, job.ask.blocks, tokens, now_s)
         prefill_s = self._prefill_tokens(job.ask) * PREFILL_S_PER_TOKEN * self.slowness
         first_s = max(now_s, self._prefill_free_s) + prefill_s
         self._prefill_free_s = first_s
@@ -118,7 +118,7 @@
         self.clock.at(first_s + decode_s, lambda: self._finish(job, True))
 
     def _first_token(self, job: Job) -> None:
-        self.meter.first_token(job.ask.number, self.clock.now_s)
+        self.meter.record_first_token(job.ask.number, self.clock.now_s)
         job.first_token()
         self._dispatch()
 
@@ -142,14 +142,14 @@
     def _finish(self, job: Job, well: bool) -> None:
         self.running -= 1
         tokens = job.ask.max_tokens
-        self.meter.ended(job.ask.number, tokens, tokens, self.clock.now_s)
+        self.meter.record_end(job.ask.number, tokens, tokens, self.clock.now_s)
         self.served += well
-        self.queue.ended(job.ask.organisation)
+        self.queue.release_slot(job.ask.organisation)
         job.ended(well)
         self._dispatch()
 
     def _queued_s(self) -> float:
-        tokens = sum(work.prefill_tokens for work in self.queue.waiting())
+        tokens = sum(work.prefill_tokens for work in self.queue.iter_queued())
         return tokens * self.meter.prefill_s_per_token
 
     def report(self) -> LoadReport:
--- a/packages/ochreway-standins/src/ochreway_standins/policybench/run.py
+++ b/packages/ochreway-standins/src/ochreway_standins/policybench/run.py
@@ -16,7 +16,7 @@
 from ochreway_routing.limits import Limits
 from ochreway_routing.query import RouteQuery
 from ochreway_routing.replica import ReplicaView
-from ochreway_routing.retry import Action, after
+from ochreway_routing.retry import Action, next_action
 from ochreway_routing.router import Router
 from ochreway_standins.policybench.fakereplica import SLOTS, FakeReplica, Job
 from ochreway_standins.policybench.scenario import Scenario
@@ -141,7 +141,7 @@
         def arrive() -> None:
             for index, router in self._followers[replica.group]:
                 own = replace(report, received=received.get(index, 0))
-                router.reported(own, self.clock.now_s)
+                router.on_load_report(own, self.clock.now_s)
 
         self.clock.after(self._scenario.report_lag_s, arrive)
         self.clock.after(self._scenario.report_every_s, partial(self._report, replica))
@@ -185,46 +185,46 @@
         name = f"{ask.number}.{trial.attempts}"
         expected_s = router.expected_first_token_s(query, view, now_s)
         self._sequence += 1
-        router.sent(view, name, self._sequence, query, now_s)
+        router.record_sent(view, name, self._sequence, query, now_s)
         self.replicas[view.group].received[trial.entry] = self._sequence
 
         def first_token() -> None:
-            router.first_token(view, expected_s, self.clock.now_s - now_s)
+            router.record_first_token(view, expected_s, self.clock.now_s - now_s)
             if ask.asked_s >= self._warm_s:
                 took_us = int((self.clock.now_s - ask.asked_s) * 1e6)
                 self.score.first_token_us.record_value(max(took_us, 1))
 
         def ended(well: bool) -> None:
             if well:
-                router.answered(view.group, name)
+                router.record_answer(view.group, name)
                 self._answered(trial)
             else:
-                router.failed(view.group, name, True, self.clock.now_s)
+                router.record_failure(view.group, name, True, self.clock.now_s)
                 self._failed(trial, Outcome.UNKNOWN, Reason.TARGET_FAILED)
 
         def refused(reason: Reason) -> None:
-            router.failed(view.group, name, False, self.clock.now_s)
+            router.record_failure(view.group, name, False, self.clock.now_s)
             self._failed(trial, Outcome.NOT_RUN, reason)
 
         self.replicas[view.group].submit(Job(ask, first_token, ended, refused))
 
     def _answered(self, trial: Trial) -> None:
         ask = trial.ask
-        self.limits[trial.entry].ended(ask.organisation, 1)
+        self.limits[trial.entry].release(ask.organisation, 1)
         if ask.asked_s >= self._warm_s and self.clock.now_s <= ask.deadline_s:
             self.score.in_time += 1
             self.score.small_in_time += ask.organisation == f"org{ORGANISATIONS - 1}"
 
     def _failed(self, trial: Trial, outcome: Outcome, reason: Reason) -> None:
-        budget = self.limits[trial.entry].budget(trial.ask.organisation)
-        action = after(outcome, reason, trial.ask.repeatable, False)
+        budget = self.limits[trial.entry].retry_budget(trial.ask.organisation)
+        action = next_action(outcome, reason, trial.ask.repeatable, False)
         if action is Action.RETRY and self.clock.now_s < trial.ask.deadline_s and budget.spend():
             self._attempt(trial)
         else:
             self._given_up(trial, reason)
 
     def _given_up(self, trial: Trial, reason: Reason) -> None:
-        self.limits[trial.entry].ended(trial.ask.organisation, 1)
+        self.limits[trial.entry].release(trial.ask.organisation, 1)
         if trial.ask.asked_s >= self._warm_s:
             reasons = self.score.reasons
             reasons[reason.value] = reasons.get(reason.value, 0) + 1
--- a/packages/ochreway-standins/src/ochreway_standins/slopes/__main__.py
+++ b/packages/ochreway-standins/src/ochreway_standins/slopes/__main__.py
@@ -30,7 +30,7 @@
 from ochreway_core.priority import Priority
 from ochreway_core.rows import LeaseRow
 from ochreway_core.view import Snapshot, View
-from ochreway_routing.prefixindex import ENTRIES_AT_MOST, PrefixIndex
+from ochreway_routing.prefixindex import MAX_INDEXED_BLOCKS, PrefixIndex
 from ochreway_routing.query import RouteQuery
 from ochreway_routing.replica import ReplicaView
 from ochreway_routing.router import Router
@@ -163,7 +163,7 @@
     """Measure the memory of what daemons hold many of."""
     for count in (1000, 5000, 20_000):
         line("attempt_record", n=count, memory_kb=memory_kb(lambda n=count: _ledger(n)))  # type: ignore[misc]
-    for count in (1024, 4096, ENTRIES_AT_MOST):
+    for count in (1024, 4096, MAX_INDEXED_BLOCKS):
         line("prefix_index", n=count, memory_kb=memory_kb(lambda n=count: _prefixes(n)))  # type: ignore[misc]
     for count in (10, 100, 525):
         rows = tuple(setups.row_of(index, 8) for index in range(count))
@@ -200,7 +200,7 @@
             for index in range(replicas)
         )
         for index in range(replicas):
-            router.reported(setups.load_report(GroupId(f"g{index}")), 0.0)
+            router.on_load_report(setups.load_report(GroupId(f"g{index}")), 0.0)
         histogram = HdrHistogram(1, 10_000_000, 3)
         rng = random.Random(2)
         for number in range(4000):
@@ -209,8 +209,8 @@
             began_ns = time.perf_counter_ns()
             chosen = router.choose(query, frozenset(), 0.1).unwrap()
             histogram.record_value(time.perf_counter_ns() - began_ns)
-            router.sent(chosen, str(number), number, query, 0.1)
-            router.answered(chosen.group, str(number))
+            router.record_sent(chosen, str(number), number, query, 0.1)
+            router.record_answer(chosen.group, str(number))
         line(
             "decision",
             n=replicas,
--- a/packages/ochreway-standins/src/ochreway_standins/slopes/crashes.py
+++ b/packages/ochreway-standins/src/ochreway_standins/slopes/crashes.py
@@ -10,7 +10,7 @@
 from ochreway_core.crashnews import CrashNews
 from ochreway_core.fingerprint import fingerprint_of
 from ochreway_core.ids import Fingerprint, InstanceId
-from ochreway_routing.crashbook import FATAL_AT_MOST, SUSPECTS_AT_MOST, CrashBook
+from ochreway_routing.crashbook import MAX_FATAL, MAX_SUSPECTS, CrashBook
 from ochreway_routing.crashrecord import FATAL_CRASHES
 
 TIMES = 20_000
@@ -23,9 +23,9 @@
 def full_book() -> CrashBook:
     """Return a book that holds all it may."""
     book = CrashBook()
-    for number in range(SUSPECTS_AT_MOST + FATAL_AT_MOST):
-        for target in range(FATAL_CRASHES if number < FATAL_AT_MOST else FATAL_CRASHES - 1):
-            book.crashed(named(number), InstanceId(f"i-{target:010x}"), NOW_S)
+    for number in range(MAX_SUSPECTS + MAX_FATAL):
+        for target in range(FATAL_CRASHES if number < MAX_FATAL else FATAL_CRASHES - 1):
+            book.record_crash(named(number), InstanceId(f"i-{target:010x}"), NOW_S)
     return book
 
 
@@ -53,14 +53,14 @@
     held_mb = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     asked, begun = named(-1 % 16**24), NOW_S + 1.0
-    known_us = each_us(lambda: book.asked(asked, begun))
-    ended_us = each_us(lambda: (book.crashes(asked), book.finished(asked, begun)))
+    known_us = each_us(lambda: book.check_request(asked, begun))
+    ended_us = each_us(lambda: (book.crash_count(asked), book.record_completion(asked, begun)))
     print(f"slope=book full_mb={held_mb:.1f} admitted_us={known_us:.2f} ended_us={ended_us:.2f}")
-    suspects = [named(FATAL_AT_MOST + n) for n in range(GROUP_CALLERS)]
+    suspects = [named(MAX_FATAL + n) for n in range(GROUP_CALLERS)]
     told = len(encode(CrashNews(book.sightings(suspects, begun))))
     print(f"slope=news requests={GROUP_CALLERS} bytes={told}")
     sightings = book.sightings(suspects, begun)
-    heard_us = each_us(lambda: [book.hear(each, begun) for each in sightings[:1]])
+    heard_us = each_us(lambda: [book.merge_sighting(each, begun) for each in sightings[:1]])
     print(f"slope=heard us={heard_us:.2f}")
 
 
--- a/packages/ochreway-standins/src/ochreway_standins/slopes/targetlimits.py
+++ b/packages/ochreway-standins/src/ochreway_standins/slopes/targetlimits.py
@@ -11,7 +11,7 @@
 from ochreway_direct.targetlimits.limitpool import QUIET_S, LimitPool
 from ochreway_direct.targetlimits.limitspread import NEWS_AT_MOST, LimitSpread
 from ochreway_direct.targetlimits.poolnews import PoolNews
-from ochreway_routing.targetlimits import KNOWN_AT_MOST, LimitWord, TargetLimits
+from ochreway_routing.targetlimits import MAX_TARGETS, LimitNotice, TargetLimits
 from ochreway_standins.slopes.crashes import each_us
 
 ENTRIES = 24
@@ -40,8 +40,8 @@
 def full_limits() -> TargetLimits:
     """Return limits of as many targets as are kept."""
     limits = TargetLimits()
-    for number in range(KNOWN_AT_MOST):
-        limits.take(named(number), LimitWord(LIMIT_PER_S, NOW_S, number))
+    for number in range(MAX_TARGETS):
+        limits.record_limit(named(number), LimitNotice(LIMIT_PER_S, NOW_S, number))
     return limits
 
 
@@ -57,12 +57,12 @@
     tracemalloc.start()
     limits, pool = full_limits(), pool_of(ENTRIES)
     gate = LimitGate(limits, pool)
-    for number in range(KNOWN_AT_MOST):
+    for number in range(MAX_TARGETS):
         gate.sent(attempt_at(number))
         gate.wait_s(named(number), number, NOW_S)
     held_mb = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
-    none_us = each_us(lambda: gate.wait_s(named(KNOWN_AT_MOST), None, NOW_S))
+    none_us = each_us(lambda: gate.wait_s(named(MAX_TARGETS), None, NOW_S))
     limited_us = each_us(lambda: gate.wait_s(named(1), 1, NOW_S))
     print(f"slope=limit_look none_us={none_us:.2f} limited_us={limited_us:.2f} mb={held_mb:.2f}")
     spread = LimitSpread(limits)
--- a/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
@@ -35,7 +35,7 @@
 from ochreway_nodes.entry.call import Call
 from ochreway_nodes.hearddrains import HeardDrains
 from ochreway_routing.crashbook import CrashBook
-from ochreway_routing.crashverdict import INNOCENT
+from ochreway_routing.crashverdict import NOT_FATAL
 from ochreway_standins.soak.run import Run
 
 Patch = Callable[[], contextlib.AbstractContextManager[Any]]
@@ -211,7 +211,7 @@
 
 @guard("fatal_requests", ("fatal_quiet",), ("fatal_request",), 1)
 def _fatal_requests() -> contextlib.AbstractContextManager[Any]:
-    return mock.patch.object(CrashBook, "asked", lambda book, fingerprint, now_s: INNOCENT)
+    return mock.patch.object(CrashBook, "asked", lambda book, fingerprint, now_s: NOT_FATAL)
 
 
 @guard("crashes_told", ("fatal_quiet",), ("fatal_request", "kill_entry"), 6, 2)
--- a/packages/ochreway-standins/src/ochreway_standins/spreadworld.py
+++ b/packages/ochreway-standins/src/ochreway_standins/spreadworld.py
@@ -140,7 +140,7 @@
         """Have targets end under a request here, and tell others of it if it is fatal."""
         now_s = asyncio.get_running_loop().time()
         for target in targets:
-            self.crashes.crashed(fingerprint, target, now_s)
+            self.crashes.record_crash(fingerprint, target, now_s)
         self.crash_spread.repeat(now_s)
 
     def begin(self, place: str) -> None:
--- a/tests/direct/limitworld.py
+++ b/tests/direct/limitworld.py
@@ -11,7 +11,7 @@
 from ochreway_direct.targetlimits.limitpool import LimitPool
 from ochreway_direct.targetlimits.limitsharing import LimitSharing
 from ochreway_direct.targetlimits.poolnews import PoolNews
-from ochreway_routing.targetlimits import LimitWord, TargetLimits
+from ochreway_routing.targetlimits import LimitNotice, TargetLimits
 from tests.runtime.recordedlog import RecordedLog
 
 TARGET = InstanceId("i-1")
@@ -180,7 +180,7 @@
         self._answers = [each for each in self._answers if each[0] > self.now_s]
         for _, name, limit_per_s in answers:
             if name in self.entries:
-                self.entries[name].limits.take(TARGET, LimitWord(limit_per_s, self.now_s))
+                self.entries[name].limits.record_limit(TARGET, LimitNotice(limit_per_s, self.now_s))
 
     def came(self, since_s: float, until_s: float) -> int:
         return sum(since_s <= at_s < until_s for at_s, _ in self.arrivals)
--- a/tests/direct/test_backoff.py
+++ b/tests/direct/test_backoff.py
@@ -72,7 +72,7 @@
             # As if the target had asked for time while the connection was being made.
             running.fleet._backoffs = Backoffs()
             now_s = asyncio.get_running_loop().time()
-            running.backoffs.take("t0", TargetNotice(ASKS_S), now_s)
+            running.backoffs.record_notice("t0", TargetNotice(ASKS_S), now_s)
             self.assertEqual(200, (await running.ask()).status)
             self.assertEqual([0, 1], [len(each.seen) for each in running.targets])
 
--- a/tests/direct/test_crashes.py
+++ b/tests/direct/test_crashes.py
@@ -6,7 +6,7 @@
 
 from ochreway_core.ids import Fingerprint
 from ochreway_direct.configuration import RouteKind
-from ochreway_routing.crashbook import REMEMBERED_S
+from ochreway_routing.crashbook import QUARANTINE_S
 from ochreway_routing.crashrecord import FATAL_CRASHES
 from tests.direct.relaycase import END, Headers, RelayCase, Running, event, stream_head, whole
 
@@ -71,7 +71,7 @@
             await self.ask_often(running, 2)
             answer = await running.ask(f"/a/{FATAL}", Request="r9")
             self.assertEqual((503, b"ends_targets\n"), (answer.status, answer.body))
-            self.assertGreater(float(answer.headers["Retry-After"]), REMEMBERED_S - 5.0)
+            self.assertGreater(float(answer.headers["Retry-After"]), QUARANTINE_S - 5.0)
             self.assertEqual(2, running.metrics.counters["refused.ends_targets"])
 
         self.on_targets(work, 8)
@@ -98,12 +98,12 @@
         async def work(running: Running) -> None:
             self.assertEqual([502], await self.ask_often(running, 1))
             (suspect,) = running.book.suspects(0.0)
-            self.assertEqual(2, running.book.crashes(suspect))
+            self.assertEqual(2, running.book.crash_count(suspect))
             for target in running.targets:
                 if not target.seen:
                     target.script = good
             self.assertEqual([200], await self.ask_often(running, 1))
-            self.assertEqual(0, running.book.crashes(suspect))
+            self.assertEqual(0, running.book.crash_count(suspect))
 
         self.on_targets(work, 4)
 
@@ -111,7 +111,7 @@
         async def work(running: Running) -> None:
             await self.ask_often(running, 3)
             record = running.book._fatal[self.fingerprint(running)]
-            record.asked_s -= REMEMBERED_S + 1.0
+            record.last_request_s -= QUARANTINE_S + 1.0
             self.assertEqual([502, 503, 503], await self.ask_often(running, 3))
             self.assertEqual(FATAL_CRASHES + 1, sum(len(each.seen) for each in running.targets))
             self.assertEqual(1, running.metrics.counters["crash.on_trial"])
--- a/tests/direct/test_crashkeeper.py
+++ b/tests/direct/test_crashkeeper.py
@@ -13,7 +13,7 @@
 from ochreway_direct.crashes.fatalrow import PREFIX, FatalRow, key_of
 from ochreway_platform.errors import TableUnavailable
 from ochreway_platform.memorytable import MemoryTable
-from ochreway_routing.crashbook import REMEMBERED_S, CrashBook
+from ochreway_routing.crashbook import QUARANTINE_S, CrashBook
 from ochreway_routing.crashrecord import FATAL_CRASHES
 from ochreway_runtime.metrics import Metrics
 from tests.runtime.recordedlog import RecordedLog
@@ -62,11 +62,11 @@
     def crash(self, times: int = FATAL_CRASHES) -> None:
         now_s = asyncio.get_running_loop().time()
         for target in TARGETS[:times]:
-            self.book.crashed(ONE, target, now_s)
+            self.book.record_crash(ONE, target, now_s)
             self.watch._changed(ONE)
 
     def left_s(self) -> float:
-        return self.book.asked(ONE, asyncio.get_running_loop().time()).fatal_for_s
+        return self.book.check_request(ONE, asyncio.get_running_loop().time()).fatal_for_s
 
     async def until(self, check: Callable[[], bool]) -> None:
         async with asyncio.timeout(BOUND_S):
@@ -94,7 +94,7 @@
             first.task.cancel()
             second = Life(self.table, WALL_S + 60.0)
             await second.until(lambda: bool(second.book.fatal()))
-            self.assertGreater(second.left_s(), REMEMBERED_S - 61.0)
+            self.assertGreater(second.left_s(), QUARANTINE_S - 61.0)
             self.assertIn("request_fatal", second.log.names)
 
         lived(work)
@@ -113,7 +113,7 @@
             life = Life(self.table)
             life.crash()
             await life.until(lambda: bool(self.keys()))
-            life.book.finished(ONE, asyncio.get_running_loop().time() + 1.0)
+            life.book.record_completion(ONE, asyncio.get_running_loop().time() + 1.0)
             life.watch._changed(ONE)
             await life.until(lambda: not self.keys())
 
@@ -151,7 +151,7 @@
 
     def test_rows_that_are_old_or_unreadable_count_for_nothing(self) -> None:
         async def work() -> None:
-            old = FatalRow(ONE, tuple(TARGETS), WALL_S - 2 * REMEMBERED_S - 1.0)
+            old = FatalRow(ONE, tuple(TARGETS), WALL_S - 2 * QUARANTINE_S - 1.0)
             self.table.rows[key_of(ONE)] = Row(1, old.content())
             self.table.rows[PREFIX + "bad"] = Row(2, b"\xff")
             self.table.rows[PREFIX + "nested"] = Row(3, b"\x81" * 50_000)
@@ -167,7 +167,7 @@
             elsewhere = CrashBook()
             now_s = asyncio.get_running_loop().time()
             for target in TARGETS:
-                elsewhere.crashed(ONE, target, now_s)
+                elsewhere.record_crash(ONE, target, now_s)
             holder = Life(self.table, holds=True)
             await asyncio.sleep(0.05)
             holder.watch.hear(elsewhere.sightings([ONE], now_s), now_s)
@@ -180,7 +180,7 @@
             life = Life(self.table)
             now_s = asyncio.get_running_loop().time()
             for number in range(FATAL_CRASHES):
-                life.book.crashed(ONE, TARGETS[0], now_s + 10.0 * number)
+                life.book.record_crash(ONE, TARGETS[0], now_s + 10.0 * number)
             life.watch._changed(ONE)
             await life.until(lambda: bool(self.keys()))
             second = Life(self.table)
@@ -190,11 +190,11 @@
 
     def test_the_holder_drops_rows_that_count_no_more(self) -> None:
         async def work() -> None:
-            old = FatalRow(ONE, tuple(TARGETS), WALL_S - 2 * REMEMBERED_S - 1.0)
+            old = FatalRow(ONE, tuple(TARGETS), WALL_S - 2 * QUARANTINE_S - 1.0)
             self.table.rows[key_of(ONE)] = Row(1, old.content())
             holder = Life(self.table, holds=True)
             await holder.until(lambda: self.table.reads > 0)
-            holder.keeper._tidied_s -= REMEMBERED_S
+            holder.keeper._tidied_s -= QUARANTINE_S
             await holder.until(lambda: not self.keys())
 
         lived(work)
--- a/tests/direct/test_crashspread.py
+++ b/tests/direct/test_crashspread.py
@@ -53,11 +53,11 @@
                 first = world.entries[self.member(world)]
                 first.crashed(FATAL, TARGETS)
                 world.run(1.0)
-                first.crashes.finished(FATAL, world.now_s + 1.0)
+                first.crashes.record_completion(FATAL, world.now_s + 1.0)
                 news = first.crashes.sightings([FATAL], world.now_s + 1.0)
                 for entry in world.entries.values():
                     for sighting in news:
-                        entry.crashes.hear(sighting, world.now_s + 1.0)
+                        entry.crashes.merge_sighting(sighting, world.now_s + 1.0)
                 world.run(3.0)
                 self.assertEqual(len(world.entries), len(self.unaware(world)))
 
--- a/tests/direct/test_limitpool.py
+++ b/tests/direct/test_limitpool.py
@@ -11,7 +11,7 @@
 from ochreway_direct.sendlimits.standingshare import StandingShare
 from ochreway_direct.targetlimits.allotment import Allotment
 from ochreway_direct.targetlimits.limitpool import CHANGE_S, LENT_S, LimitPool
-from ochreway_routing.quota import LEAST_PER_S, Quota
+from ochreway_routing.quota import MIN_RATE_PER_S, Quota
 from tests.direct.limitworld import SPAN_S, LimitWorld
 
 KNOWN_AFTER_S = 3.0
@@ -36,9 +36,9 @@
 class QuotaTests(testtools.TestCase):
     @given(st.floats(1e-9, 1e12))
     def test_a_quota_is_kept_within_what_users_allow(self, limit_per_s: float) -> None:
-        quota = Quota.of(limit_per_s)
-        rate_per_s = max(limit_per_s, LEAST_PER_S)
-        self.assertAlmostEqual(rate_per_s, quota.requests / quota.span_s, delta=1e-6 * rate_per_s)
+        quota = Quota.for_limit(limit_per_s)
+        rate_per_s = max(limit_per_s, MIN_RATE_PER_S)
+        self.assertAlmostEqual(rate_per_s, quota.requests / quota.window_s, delta=1e-6 * rate_per_s)
         at_most = quota.requests + rate_per_s * SPAN_S
         self.assertLessEqual(at_most, allowed(rate_per_s) * (1 + 1e-9))
 
@@ -142,7 +142,7 @@
         self.assert_kept(world, since_s)
         world.run(3 * CHANGE_S)
         # The others are withheld what two that are gone may still have, in whole requests.
-        requests = Quota.of(per_s).requests
+        requests = Quota.for_limit(per_s).requests
         self.assert_used(world, 20.0, math.floor(requests * 5 / 7) / requests)
 
     def test_a_limit_is_used_again_at_once_when_the_keeper_is_lost(self) -> None:
@@ -181,7 +181,7 @@
         since_s = world.now_s
         world.run(4.0)
         self.assertGreater(world.came(since_s, world.now_s), 120)
-        self.assertEqual(0, sum(e.limits.number() for e in world.entries.values()))
+        self.assertEqual(0, sum(e.limits.limited_count() for e in world.entries.values()))
 
     def test_a_limit_that_each_entry_keeps_for_itself_is_found(self) -> None:
         world = world_of(5)
@@ -195,7 +195,7 @@
 
     def test_equal_shares_of_many_entries_add_up_to_no_more_than_a_quota(self) -> None:
         names = [NodeId(f"e{n}") for n in range(1100)]
-        quota = Quota.of(10.0)
+        quota = Quota.for_limit(10.0)
         given_out = 0
         for me in names:
             standing = StandingShare(me, 3, 0.0)
--- a/tests/direct/test_placewait.py
+++ b/tests/direct/test_placewait.py
@@ -33,7 +33,7 @@
             for number in range(ASKS):
                 asked = TargetNotice(backoff_s=0.02 * number)
                 for target in running.targets:
-                    running.backoffs.take(target.name, asked, loop.time())
+                    running.backoffs.record_notice(target.name, asked, loop.time())
                 each_s = JUMP_S
                 found = await running.ask()
                 each_s = 0.0
--- a/tests/routing/test_backoffs.py
+++ b/tests/routing/test_backoffs.py
@@ -9,7 +9,7 @@
 from ochreway_routing.backoffs import Backoffs
 
 LEAVES = TargetNotice(leaving=True)
-ONE, TWO = 1000, 2000
+FIRST_BORN_MS, SECOND_BORN_MS = 1000, 2000
 """When two lives of a target began."""
 
 
@@ -18,74 +18,74 @@
         super().setUp()
         self.backoffs = Backoffs()
 
-    def test_a_target_is_left_alone_for_as_long_as_it_asks(self) -> None:
-        self.assertTrue(self.backoffs.take("t", TargetNotice(3.0), 10.0))
+    def test_target_is_avoided_for_the_requested_backoff(self) -> None:
+        self.assertTrue(self.backoffs.record_notice("t", TargetNotice(3.0), 10.0))
         self.assertEqual(3.0, self.backoffs.wait_s("t", 10.0))
         self.assertEqual(0.5, self.backoffs.wait_s("t", 12.5))
         self.assertEqual(0.0, self.backoffs.wait_s("t", 13.0))
         self.assertEqual(0.0, self.backoffs.wait_s("other", 10.0))
 
-    def test_answers_to_what_was_on_its_way_are_no_news_and_take_nothing_back(self) -> None:
-        self.backoffs.take("t", TargetNotice(3.0), 10.0)
-        self.assertFalse(self.backoffs.take("t", TargetNotice(1.0), 10.1))
-        self.assertFalse(self.backoffs.take("t", NO_NOTICE, 10.2))
+    def test_shorter_backoff_is_not_new_and_does_not_shorten_the_wait(self) -> None:
+        self.backoffs.record_notice("t", TargetNotice(3.0), 10.0)
+        self.assertFalse(self.backoffs.record_notice("t", TargetNotice(1.0), 10.1))
+        self.assertFalse(self.backoffs.record_notice("t", NO_NOTICE, 10.2))
         self.assertEqual(2.5, self.backoffs.wait_s("t", 10.5))
-        self.assertTrue(self.backoffs.take("t", TargetNotice(1.0), 13.5))
+        self.assertTrue(self.backoffs.record_notice("t", TargetNotice(1.0), 13.5))
 
-    def test_a_longer_time_than_before_holds(self) -> None:
-        self.backoffs.take("t", TargetNotice(1.0), 10.0)
-        self.backoffs.take("t", TargetNotice(3.0), 10.1)
+    def test_longer_backoff_extends_the_wait(self) -> None:
+        self.backoffs.record_notice("t", TargetNotice(1.0), 10.0)
+        self.backoffs.record_notice("t", TargetNotice(3.0), 10.1)
         self.assertEqual(2.0, round(self.backoffs.wait_s("t", 11.1), 6))
 
-    def test_a_target_that_leaves_does_so_for_good(self) -> None:
-        self.assertTrue(self.backoffs.take("t", LEAVES, 10.0))
-        self.assertFalse(self.backoffs.take("t", LEAVES, 11.0))
-        self.assertFalse(self.backoffs.take("t", NO_NOTICE, 12.0))
+    def test_leaving_target_is_avoided_for_good(self) -> None:
+        self.assertTrue(self.backoffs.record_notice("t", LEAVES, 10.0))
+        self.assertFalse(self.backoffs.record_notice("t", LEAVES, 11.0))
+        self.assertFalse(self.backoffs.record_notice("t", NO_NOTICE, 12.0))
         self.assertEqual(math.inf, self.backoffs.wait_s("t", 1.0e6))
         self.assertTrue(self.backoffs.leaving("t"))
         self.assertFalse(self.backoffs.backed_off("t", 12.0))
 
-    def test_one_that_leaves_may_ask_for_time_as_well(self) -> None:
-        self.backoffs.take("t", LEAVES, 10.0)
-        self.assertTrue(self.backoffs.take("t", TargetNotice(2.0), 10.0))
+    def test_leaving_target_may_request_a_backoff_too(self) -> None:
+        self.backoffs.record_notice("t", LEAVES, 10.0)
+        self.assertTrue(self.backoffs.record_notice("t", TargetNotice(2.0), 10.0))
         self.assertTrue(self.backoffs.backed_off("t", 11.0))
         self.assertEqual(math.inf, self.backoffs.wait_s("t", 13.0))
 
-    def test_what_one_life_asked_for_does_not_hold_for_the_next(self) -> None:
-        self.backoffs.take("t", LEAVES, 10.0, ONE)
-        self.assertEqual(0.0, self.backoffs.wait_s("t", 11.0, TWO))
-        self.assertFalse(self.backoffs.leaving("t", TWO))
-        self.assertTrue(self.backoffs.leaving("t", ONE))
+    def test_backoff_ends_with_the_incarnation_that_requested_it(self) -> None:
+        self.backoffs.record_notice("t", LEAVES, 10.0, FIRST_BORN_MS)
+        self.assertEqual(0.0, self.backoffs.wait_s("t", 11.0, SECOND_BORN_MS))
+        self.assertFalse(self.backoffs.leaving("t", SECOND_BORN_MS))
+        self.assertTrue(self.backoffs.leaving("t", FIRST_BORN_MS))
         self.assertTrue(self.backoffs.leaving("t"))
 
-    def test_a_word_of_an_older_life_counts_for_nothing(self) -> None:
-        self.backoffs.take("t", TargetNotice(1.0), 10.0, TWO)
-        self.assertFalse(self.backoffs.take("t", LEAVES, 10.1, ONE))
-        self.assertFalse(self.backoffs.leaving("t", TWO))
+    def test_notice_of_an_older_incarnation_is_ignored(self) -> None:
+        self.backoffs.record_notice("t", TargetNotice(1.0), 10.0, SECOND_BORN_MS)
+        self.assertFalse(self.backoffs.record_notice("t", LEAVES, 10.1, FIRST_BORN_MS))
+        self.assertFalse(self.backoffs.leaving("t", SECOND_BORN_MS))
 
-    def test_the_next_life_may_ask_in_its_turn(self) -> None:
-        self.backoffs.take("t", LEAVES, 10.0, ONE)
-        self.assertTrue(self.backoffs.take("t", TargetNotice(3.0), 20.0, TWO))
-        self.assertEqual(3.0, self.backoffs.wait_s("t", 20.0, TWO))
-        self.assertEqual(0.0, self.backoffs.wait_s("t", 24.0, TWO))
+    def test_next_incarnation_may_request_a_backoff(self) -> None:
+        self.backoffs.record_notice("t", LEAVES, 10.0, FIRST_BORN_MS)
+        self.assertTrue(self.backoffs.record_notice("t", TargetNotice(3.0), 20.0, SECOND_BORN_MS))
+        self.assertEqual(3.0, self.backoffs.wait_s("t", 20.0, SECOND_BORN_MS))
+        self.assertEqual(0.0, self.backoffs.wait_s("t", 24.0, SECOND_BORN_MS))
 
-    def test_what_is_over_is_forgotten_first_then_what_was_heard_first(self) -> None:
-        backoffs = Backoffs(known_at_most=3)
-        backoffs.take("over", TargetNotice(1.0), 10.0)
+    def test_lapsed_backoffs_are_evicted_first_then_the_oldest(self) -> None:
+        backoffs = Backoffs(max_targets=3)
+        backoffs.record_notice("over", TargetNotice(1.0), 10.0)
         for name in ("first", "second", "third"):
-            backoffs.take(name, LEAVES, 12.0)
+            backoffs.record_notice(name, LEAVES, 12.0)
         self.assertEqual(3, backoffs.number_leaving())
-        backoffs.take("fourth", LEAVES, 13.0)
+        backoffs.record_notice("fourth", LEAVES, 13.0)
         self.assertEqual([False, True], [backoffs.leaving(n) for n in ("first", "fourth")])
         self.assertEqual(3, backoffs.number_leaving())
 
     @given(st.lists(st.tuples(st.floats(0.0, 5.0), st.floats(0.0, 4.0)), max_size=30))
-    def test_no_time_that_was_asked_for_is_cut_short(
-        self, asked: list[tuple[float, float]]
+    def test_requested_backoff_is_never_cut_short(
+        self, backoffs_s: list[tuple[float, float]]
     ) -> None:
         backoffs, now_s, until_s = Backoffs(), 0.0, 0.0
-        for pause_s, wanted_s in asked:
+        for pause_s, backoff_s in backoffs_s:
             now_s += pause_s
-            backoffs.take("t", TargetNotice(wanted_s), now_s)
-            until_s = max(until_s, now_s + wanted_s)
+            backoffs.record_notice("t", TargetNotice(backoff_s), now_s)
+            until_s = max(until_s, now_s + backoff_s)
             self.assertEqual(max(0.0, until_s - now_s), backoffs.wait_s("t", now_s))
--- a/tests/routing/test_fairqueue.py
+++ b/tests/routing/test_fairqueue.py
@@ -5,7 +5,7 @@
 
 from ochreway_core.priority import Priority
 from ochreway_core.reason import Reason
-from ochreway_routing.fairqueue import LOWER_CLASS_EVERY, FairQueue
+from ochreway_routing.fairqueue import LOWER_CLASS_INTERVAL, FairQueue
 from ochreway_routing.work import Work
 
 
@@ -18,13 +18,15 @@
 class FairQueueTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.queue: FairQueue[str] = FairQueue(at_most=8, slots=4)
+        self.queue: FairQueue[str] = FairQueue(capacity=8, slots=4)
 
     def offer(self, *args: object, **more: object) -> None:
         self.assertTrue(self.queue.offer(work(*args, **more)).is_ok())  # type: ignore[arg-type]
 
     def taken(self, count: int) -> list[str]:
-        return [found.item for found in (self.queue.next() for _ in range(count)) if found]
+        return [
+            dequeued.item for dequeued in (self.queue.dequeue() for _ in range(count)) if dequeued
+        ]
 
     def test_small_organisation_is_served_in_turn(self) -> None:
         for index in range(5):
@@ -33,7 +35,7 @@
         self.assertIn("small0", self.taken(2))
 
     def test_weights(self) -> None:
-        self.queue.at_most = 100
+        self.queue.capacity = 100
         self.queue.set_shares([("a", 3, 0), ("b", 1, 0)])
         for index in range(12):
             self.offer(f"a{index}", "a")
@@ -54,11 +56,11 @@
         self.assertEqual(["visit", "chat"], self.taken(2))
 
     def test_lower_class_does_not_starve(self) -> None:
-        self.queue.at_most = 100
+        self.queue.capacity = 100
         self.offer("batch", "a", Priority.BATCH)
         for index in range(50):
             self.offer(f"v{index}", "a", Priority.VISIT)
-        self.assertIn("batch", self.taken(LOWER_CLASS_EVERY))
+        self.assertIn("batch", self.taken(LOWER_CLASS_INTERVAL))
 
     def test_earliest_deadline_first(self) -> None:
         self.offer("later", "a", deadline_s=9.0)
@@ -78,17 +80,17 @@
         self.offer("small", "small")
         self.assertEqual(Reason.OVER_SHARE, self.queue.offer(work("more", "big")).unwrap_err())
 
-    def test_hopeless_work_is_taken_out(self) -> None:
+    def test_infeasible_work_is_removed(self) -> None:
         self.offer("late", "a", deadline_s=2.0)
         self.offer("fine", "a", deadline_s=50.0)
-        self.assertEqual(["late"], [each.item for each in self.queue.take_hopeless(1.0, 0.5)])
+        self.assertEqual(["late"], [each.item for each in self.queue.remove_infeasible(1.0, 0.5)])
         self.assertEqual(1, len(self.queue))
 
     @given(
         st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from(list(Priority))), max_size=40)
     )
     def test_everything_offered_comes_out_once(self, offers: list[tuple[str, Priority]]) -> None:
-        queue: FairQueue[str] = FairQueue(at_most=10, slots=4)
+        queue: FairQueue[str] = FairQueue(capacity=10, slots=4)
         kept: set[str] = set()
         for index, (organisation, priority) in enumerate(offers):
             offered = queue.offer(work(str(index), organisation, priority))
@@ -98,7 +100,7 @@
                 if displaced is not None:
                     kept.remove(displaced.item)
         taken = []
-        while (following := queue.next()) is not None:
+        while (following := queue.dequeue()) is not None:
             taken.append(following.item)
         self.assertEqual(sorted(kept), sorted(taken))
         self.assertAlmostEqual(0.0, queue.tokens)
--- a/tests/routing/test_retry.py
+++ b/tests/routing/test_retry.py
@@ -7,27 +7,27 @@
 from ochreway_core.outcome import Outcome
 from ochreway_core.reason import Reason
 from ochreway_routing.limits import Limits
-from ochreway_routing.retry import Action, after
+from ochreway_routing.retry import Action, next_action
 from ochreway_routing.retrybudget import RetryBudget
 
 
 class RetryTests(testtools.TestCase):
     def test_unknown_is_never_repeated_when_it_may_not_be(self) -> None:
         for reason, streamed in itertools.product(Reason, (False, True)):
-            self.assertEqual(Action.ANSWER, after(Outcome.UNKNOWN, reason, False, streamed))
+            self.assertEqual(Action.ANSWER, next_action(Outcome.UNKNOWN, reason, False, streamed))
 
     def test_nothing_is_retried_once_streamed(self) -> None:
         for outcome, reason, repeatable in itertools.product(Outcome, Reason, (False, True)):
-            self.assertEqual(Action.ANSWER, after(outcome, reason, repeatable, True))
+            self.assertEqual(Action.ANSWER, next_action(outcome, reason, repeatable, True))
 
     def test_not_run_goes_elsewhere(self) -> None:
-        self.assertEqual(Action.RETRY, after(Outcome.NOT_RUN, Reason.DRAINING, False, False))
+        self.assertEqual(Action.RETRY, next_action(Outcome.NOT_RUN, Reason.DRAINING, False, False))
 
     def test_budget_bounds_retries_to_its_share(self) -> None:
         budget = RetryBudget(balance=0.0)
         spent = 0
         for _ in range(1000):
-            budget.requested()
+            budget.earn()
             spent += budget.spend()
         self.assertTrue(140 <= spent <= 150)
 
@@ -40,9 +40,9 @@
 
     def test_in_flight_is_shared_by_the_entries(self) -> None:
         limits = self.make(max_in_flight=4)
-        found = [limits.admit("a", 1, 0.0).is_ok() for _ in range(3)]
-        self.assertEqual([True, True, False], found)
-        limits.ended("a", 1)
+        admitted = [limits.admit("a", 1, 0.0).is_ok() for _ in range(3)]
+        self.assertEqual([True, True, False], admitted)
+        limits.release("a", 1)
         self.assertTrue(limits.admit("a", 1, 0.0).is_ok())
 
     def test_tokens_in_flight(self) -> None:
