--- a/packages/ochreway-routing/src/ochreway_routing/backoffs.py
+++ b/packages/ochreway-routing/src/ochreway_routing/backoffs.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What targets asked of whoever sends to them: to stay away for a while, or for good."""
+"""Back-offs and leave notices that targets gave in the heads of their answers."""
 
 import math
 from dataclasses import dataclass
@@ -8,12 +8,12 @@
 from ochreway_routing.incarnations import is_older_incarnation
 
 MAX_TARGETS = 4096
-"""Of how many targets something is kept: more than are listed at the size designed for, 3,000."""
+"""Bound on the targets remembered; the design size is 3,000 listed targets."""
 
 
 @dataclass(slots=True)
 class _TargetState:
-    """Hold what one life of a target asked for; one that leaves does so for good."""
+    """Hold what one incarnation of a target requested; leaving is final."""
 
     born_ms: int | None
     until_s: float
@@ -21,27 +21,29 @@
 
 
 class Backoffs:
-    """Keep what the head of an answer says beyond the request that it answers.
+    """Remember which targets asked to receive no requests, for a while or for good.
 
-    A target that turns all away at once has nothing under way, so without this it looks like the
-    emptiest place there is, and draws requests that others would have served. It costs a look into
-    a table for each place that a choice is made among.
+    A target that refuses everything at once has nothing in flight, so without this it would look
+    like the least loaded one and attract requests that others could have served. The check costs
+    one dictionary look-up for each candidate of a choice.
 
-    A target is named by its id or address, and by when it was born where that is known: what one
-    life asked for does not hold for the next one, and a state of an older life counts for nothing.
+    A target is identified by its id or address and, where known, by the birth time of its
+    incarnation: what one incarnation requested does not apply to the next, and a notice of an
+    older incarnation is ignored.
     """
 
     def __init__(self, max_targets: int = MAX_TARGETS) -> None:
-        """Start with nothing asked for; of so many targets at the most something is kept."""
+        """Start without back-offs; remember at most ``max_targets`` targets."""
         self._max_targets = max_targets
         self._states: dict[str, _TargetState] = {}
 
     def record_notice(
         self, target: str, notice: TargetNotice, now_s: float, born_ms: int | None = None
     ) -> bool:
-        """Take what a target said at a time; return whether it asked for more than before.
+        """Record a target's notice; return whether it requests more than before.
 
-        A shorter time than an earlier answer named takes nothing back: each asks for its own.
+        A shorter back-off in a later answer does not shorten the one in force, as each answer
+        counts on its own.
         """
         until_s = now_s + (notice.backoff_s or 0.0)
         if until_s <= now_s and not notice.leaving:
@@ -60,7 +62,7 @@
         return is_new
 
     def _evict(self, now_s: float) -> None:
-        """Forget what is over and, if that is not enough, what was heard first."""
+        """Remove lapsed back-offs and, if that is not enough, the oldest entries."""
         if len(self._states) < self._max_targets:
             return
         self._states = {
@@ -72,19 +74,19 @@
             del self._states[next(iter(self._states))]
 
     def wait_s(self, target: str, now_s: float, born_ms: int | None = None) -> float:
-        """Return for how long a target is to get no request: 0 if it may, infinite if it leaves."""
+        """Return for how long to send a target nothing: 0 for now, infinite if it is leaving."""
         state = self._current_state(target, born_ms)
         if state is None:
             return 0.0
         return math.inf if state.leaving else max(0.0, state.until_s - now_s)
 
     def backed_off(self, target: str, now_s: float, born_ms: int | None = None) -> bool:
-        """Tell whether a target, leaving or not, has asked to get nothing at all now."""
+        """Return whether a target, leaving or not, is within a back-off that it requested."""
         state = self._current_state(target, born_ms)
         return state is not None and now_s < state.until_s
 
     def leaving(self, target: str, born_ms: int | None = None) -> bool:
-        """Tell whether a target has said that it leaves."""
+        """Return whether a target announced that it is leaving."""
         state = self._current_state(target, born_ms)
         return state is not None and state.leaving
 
@@ -93,11 +95,11 @@
         return None if state is None or is_older_incarnation(state.born_ms, born_ms) else state
 
     def number_backed_off(self, now_s: float) -> int:
-        """Return how many targets are left alone for a while."""
+        """Return how many targets are within a back-off."""
         return sum(now_s < state.until_s for state in self._states.values())
 
     def number_leaving(self) -> int:
-        """Return how many targets have said that they leave."""
+        """Return how many targets announced that they are leaving."""
         return sum(state.leaving for state in self._states.values())
 
 
--- a/packages/ochreway-routing/src/ochreway_routing/crashbook.py
+++ b/packages/ochreway-routing/src/ochreway_routing/crashbook.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which requests end the targets that run them.
+"""Detection of requests that crash the targets that run them.
 
-A try that is sent on, and a caller who tries again, take such a request from target to target.
-What is asked, and not the try, is therefore what crashes are counted by. A good end at any entry
-shows that a request is innocent, as those are that were under way beside the cause.
+Retries by an entry or by the caller carry such a request from target to target, so crashes are
+counted by the request's fingerprint, not by attempt. A completion at any entry clears a request:
+most requests that were in flight during a crash did not cause it.
 """
 
 from collections import OrderedDict
@@ -15,24 +15,24 @@
 from ochreway_routing.crashverdict import NOT_FATAL, CrashVerdict
 
 QUARANTINE_S = 600.0
-"""For how long a request counts after it was last asked for, or a target last ended under it.
+"""For how long a fatal request is refused after it was last received or last crashed a target.
 
-A caller who comes back later gets one further try, as what ended its targets may be mended. So
-no request ends more than one target in that time, and no refusal lasts for good.
+A caller that returns later gets one trial, as the cause may have been fixed. So a fatal request
+crashes at most one target in that time, and no refusal is permanent.
 """
 CLEARED_RETENTION_S = 60.0
-"""For how long a good end is kept, against older words that are still on their way."""
+"""For how long a completion is kept, to override older sightings still in transit."""
 MAX_SUSPECTS = 4096
-"""How many requests are kept that targets ended under; some 200 are under way at one group."""
+"""Bound on the requests kept with fewer crashes; about 200 are in flight at one group."""
 MAX_FATAL = 1024
-"""How many fatal requests are kept; they are not pushed out by suspects."""
+"""Bound on the fatal requests kept; suspects do not evict them."""
 
 
 class CrashBook:
-    """Count, for each request, the targets that ended under it since its last good end.
+    """Count, for each request, the targets that crashed under it since its last completion.
 
-    It holds the newest of each kind up to a bound: 2.8 MB in all at the most, by
-    ``python -m ochreway_standins.slopes.crashes``.
+    It holds the newest suspects and fatal requests up to a bound each, 2.8 MB in all at the most;
+    see ``python -m ochreway_standins.slopes.crashes``.
     """
 
     def __init__(self, max_suspects: int = MAX_SUSPECTS, max_fatal: int = MAX_FATAL) -> None:
@@ -41,17 +41,17 @@
         self._max_suspects = max_suspects
         self._max_fatal = max_fatal
 
-    # What is learned.
+    # Updates.
 
     def record_crash(self, fingerprint: Fingerprint, target: InstanceId, at_s: float) -> bool:
-        """Note that a target ended under a request; return whether that was not known."""
+        """Record that a target crashed under a request; return whether that is new."""
         record = self._find(fingerprint) or CrashRecord(at_s)
         is_new = record.add(Crash(target, at_s))
         self._store(fingerprint, record)
         return is_new
 
     def record_completion(self, fingerprint: Fingerprint, now_s: float) -> bool:
-        """Note that a target ran a request to its end; return whether others should know."""
+        """Record that a target completed a request; return whether to tell other entries."""
         record = self._find(fingerprint)
         if record is None or not record.crashes:
             return False
@@ -60,10 +60,10 @@
         return True
 
     def check_request(self, fingerprint: Fingerprint, now_s: float) -> CrashVerdict:
-        """Note that a request is asked for; return whether it may be sent.
+        """Record that a request was received; return whether it may be sent.
 
-        A fatal one that was long not asked for is let through once: whoever asks for the same
-        meanwhile is refused until it is known what became of that.
+        After its quarantine a fatal request is let through once, on trial. The same request is
+        refused meanwhile, until the outcome of the trial is known.
         """
         record = self._fatal.get(fingerprint)
         if record is None:
@@ -74,7 +74,7 @@
         return CrashVerdict(left_s) if left_s > 0.0 else CrashVerdict(on_trial=True)
 
     def merge_sighting(self, sighting: CrashSighting, received_s: float) -> bool:
-        """Take what another process tells; return whether any of it was not known."""
+        """Merge another process's sighting; return whether any of it is new."""
         fingerprint = sighting.fingerprint
         last_request_s = received_s - sighting.asked_age_s
         record = self._find(fingerprint) or CrashRecord(last_request_s)
@@ -88,44 +88,44 @@
         return is_new
 
     def expire(self, now_s: float) -> None:
-        """Forget what is too old to count."""
+        """Remove the records that are too old to count."""
         for records in (self._suspects, self._fatal):
             expired = [name for name, record in records.items() if _is_expired(record, now_s)]
             for fingerprint in expired:
                 del records[fingerprint]
 
-    # What is asked.
+    # Queries.
 
     def crash_count(self, fingerprint: Fingerprint) -> int:
-        """Return how many targets ended under a request since its last good end."""
+        """Return how many targets crashed under a request since its last completion."""
         record = self._find(fingerprint)
         return len(record.crashes) if record is not None else 0
 
     def asked_age_s(self, fingerprint: Fingerprint, now_s: float) -> float | None:
-        """Return how long ago a fatal request was last asked for, or None when it is not one."""
+        """Return how long ago a fatal request was last received, or None if it is not fatal."""
         record = self._fatal.get(fingerprint)
         return now_s - record.last_request_s if record is not None else None
 
     def targets(self, fingerprint: Fingerprint) -> list[InstanceId]:
-        """Return the targets that ended under a request, the first one first."""
+        """Return the targets that crashed under a request, oldest crash first."""
         record = self._find(fingerprint)
         return [crash.target for crash in record.crashes] if record is not None else []
 
     def sightings(
         self, fingerprints: Iterable[Fingerprint], now_s: float
     ) -> tuple[CrashSighting, ...]:
-        """Return what to tell others of some requests."""
+        """Return what to send to other entries about some requests."""
         known_records = ((each, self._find(each)) for each in fingerprints)
         return tuple(
             record.to_sighting(each, now_s) for each, record in known_records if record is not None
         )
 
     def fatal(self) -> list[Fingerprint]:
-        """Return the fatal requests, the one that was asked for last at the end."""
+        """Return the fatal requests, the most recently received one last."""
         return list(self._fatal)
 
     def suspects(self, since_s: float) -> list[Fingerprint]:
-        """Return the others that anything was noted of since a time."""
+        """Return the non-fatal requests that were received or completed since a time."""
         return [
             name
             for name, record in self._suspects.items()
@@ -136,7 +136,7 @@
         return self._fatal.get(fingerprint) or self._suspects.get(fingerprint)
 
     def _store(self, fingerprint: Fingerprint, record: CrashRecord) -> None:
-        """Keep a record as the newest of its kind, and drop the oldest beyond the bound."""
+        """Store a record as the newest of its kind and remove the oldest ones over the bound."""
         self._fatal.pop(fingerprint, None)
         self._suspects.pop(fingerprint, None)
         kept, bound = (
@@ -150,7 +150,7 @@
 def _is_expired(record: CrashRecord, now_s: float) -> bool:
     if not record.crashes:
         return now_s - record.cleared_s > CLEARED_RETENTION_S
-    # As long again as it counts: whoever comes back by then has one try, not three.
+    # Kept for a second quarantine: a caller that returns by then gets one trial, not three.
     return now_s - record.last_request_s > 2 * QUARANTINE_S
 
 
--- a/packages/ochreway-routing/src/ochreway_routing/crashrecord.py
+++ b/packages/ochreway-routing/src/ochreway_routing/crashrecord.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The targets that ended under one request."""
+"""The targets that crashed under one request."""
 
 from dataclasses import dataclass, field
 
@@ -7,22 +7,22 @@
 from ochreway_core.ids import Fingerprint, InstanceId
 
 FATAL_CRASHES = 3
-"""Under how many crashes without a good end a request counts as their cause.
+"""How many crashes without a completion make a request count as their cause.
 
-Each costs all callers of a target, so fewer would be better; but callers of one lost group meet
-again at the next: of those that were under way at two crashes most are innocent.
+Each crash costs all callers of a target, so fewer would be better. But the callers of a lost group
+meet again at the next one, so most requests that were in flight at two crashes are not the cause.
 """
 SAME_CRASH_WINDOW_S = 1.5
-"""Within what time two words of a target's end mean the same one.
+"""Within what time two reports of a target's crash mean the same crash.
 
-A target takes some seconds to come back; words of its end are on their way for less than one.
+A target takes some seconds to restart; reports of its crash are in transit for less than one.
 """
 NEVER_S = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """Name a target that ended, and when, on this process's steady clock."""
+    """Name a target that crashed, and when, on this process's steady clock."""
 
     target: InstanceId
     at_s: float
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class CrashRecord:
-    """Hold the newest crashes under a request since it last came to a good end."""
+    """Hold the newest crashes under a request since its last completion."""
 
     last_request_s: float
     crashes: list[Crash] = field(default_factory=list)
@@ -38,11 +38,11 @@
 
     @property
     def fatal(self) -> bool:
-        """Tell whether enough targets ended under the request."""
+        """Return whether enough targets crashed under the request."""
         return len(self.crashes) >= FATAL_CRASHES
 
     def add(self, crash: Crash) -> bool:
-        """Take a crash; return whether it is a further one."""
+        """Add a crash; return whether it is a new one."""
         if crash.at_s <= self.cleared_s or any(
             _is_same_crash(crash, each) for each in self.crashes
         ):
@@ -53,7 +53,7 @@
         return crash in self.crashes
 
     def clear(self, at_s: float) -> bool:
-        """Forget the crashes up to a good end; return whether that is is_new."""
+        """Remove the crashes up to a completion; return whether that is new."""
         is_new = at_s > self.cleared_s + SAME_CRASH_WINDOW_S
         self.cleared_s = max(self.cleared_s, at_s)
         kept = [crash for crash in self.crashes if crash.at_s > self.cleared_s]
@@ -62,7 +62,7 @@
         return is_new
 
     def to_sighting(self, fingerprint: Fingerprint, now_s: float) -> CrashSighting:
-        """Return what to tell others."""
+        """Return what to send to other processes."""
         crashes = tuple(SeenCrash(each.target, now_s - each.at_s) for each in self.crashes)
         cleared_age_s = now_s - self.cleared_s if self.cleared_s > NEVER_S else None
         return CrashSighting(fingerprint, crashes, now_s - self.last_request_s, cleared_age_s)
--- a/packages/ochreway-routing/src/ochreway_routing/ejection.py
+++ b/packages/ochreway-routing/src/ochreway_routing/ejection.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Taking a failing replica out for a while."""
+"""Temporary ejection of failing replicas."""
 
 from dataclasses import dataclass
 
@@ -16,7 +16,7 @@
     def record_failure(
         self, now_s: float, failures_allowed: int, base_s: float, max_s: float
     ) -> bool:
-        """Note a failure; return whether the replica is ejected by it."""
+        """Record a failure; return whether it ejects the replica."""
         self.failures += 1
         if self.failures < failures_allowed or self.is_ejected(now_s):
             return False
@@ -28,12 +28,12 @@
         return True
 
     def record_success(self) -> None:
-        """Note a success."""
+        """Reset the failures and the length of the next ejection."""
         self.failures = 0
         self.ejections = 0
 
     def is_ejected(self, now_s: float) -> bool:
-        """Tell whether the replica is out."""
+        """Return whether the replica is ejected now."""
         return now_s < self.until_s
 
 
--- a/packages/ochreway-routing/src/ochreway_routing/estimate.py
+++ b/packages/ochreway-routing/src/ochreway_routing/estimate.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How long a replica is expected to take for a first token."""
+"""Estimates of a replica's load and of its time to first token."""
 
 import math
 from collections.abc import Sequence
@@ -11,12 +11,12 @@
 from ochreway_routing.tuning import Tuning
 
 REPORT_HALF_LIFE_S = 0.5
-"""After how long a report is trusted half, and the average of the replicas for the rest."""
+"""Age at which a report has half its weight; the replicas' average has the rest."""
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Hold what is ahead of a request at a replica."""
+    """Hold the work that is ahead of a request at a replica."""
 
     backlog_s: float
     request_count: float
@@ -34,10 +34,10 @@
 
 
 def expected_load(replica: ReplicaView, average: Load, tuning: Tuning, now_s: float) -> Load:
-    """Return a replica's load: as reported, less trusted with age, and what was sent since.
+    """Return a replica's load: as reported, weighted by age, plus what was sent since.
 
-    With old reports every replica looks alike but for this entry's own work, so that
-    entries do not all run to the one that was idle a while ago.
+    With old reports all replicas look alike except for this entry's own work, so that entries do
+    not all send to the one that was idle a while ago.
     """
     trust = math.exp2(-replica.staleness_s(now_s) / REPORT_HALF_LIFE_S)
     reported = replica.in_flight + replica.queued
@@ -51,14 +51,14 @@
 
 
 def expected_prefill_tokens(query: RouteQuery, replica: ReplicaView, now_s: float) -> float:
-    """Return the prompt's tokens less those expected to be cached."""
+    """Return the prompt's tokens minus those expected to be cached."""
     cached = replica.prefixes.expected_blocks(query.blocks, now_s) * BLOCK_TOKENS
     uncached = query.prompt_tokens - cached
     return uncached if uncached > 1.0 else 1.0
 
 
 def expected_queue_s(replica: ReplicaView, load: Load, tuning: Tuning) -> float:
-    """Return how long what is ahead is expected to take."""
+    """Return how long the work ahead is expected to take."""
     excess = load.request_count + 1 - replica.slots
     if excess <= 0:
         return load.backlog_s
@@ -66,13 +66,13 @@
 
 
 def slot_turnover_s(replica: ReplicaView, tuning: Tuning) -> float:
-    """Return how often one of the replica's slots is expected to come free."""
+    """Return the expected interval at which one of the replica's slots becomes free."""
     typical_answer_tokens = 128
     return typical_answer_tokens * tuning.decode_s_per_token / max(replica.slots, 1)
 
 
 def slow_start_factor(replica: ReplicaView, tuning: Tuning, now_s: float) -> float:
-    """Return how much more a replica that has just come back is charged."""
+    """Return the factor on the cost of a replica that opened or returned recently."""
     available_since_s = max(replica.opened_s, replica.ejection.returned_s)
     if now_s - available_since_s >= tuning.slow_start_s:
         return 1.0
@@ -89,7 +89,7 @@
     now_s: float,
     prefill_weight: float = 1.0,
 ) -> float:
-    """Return the time to first token expected at the replica, for this request."""
+    """Return the request's expected time to first token at the replica."""
     prefill_s = expected_prefill_tokens(query, replica, now_s) * tuning.prefill_s_per_token
     load = expected_load(replica, average, tuning, now_s)
     queue_s = expected_queue_s(replica, load, tuning)
@@ -101,7 +101,7 @@
 
 
 def rounded_retry_after_s(wait_s: float) -> float:
-    """Return when to come back, rounded up to whole seconds as HTTP wants it."""
+    """Return a wait of at most 60 s rounded up to whole seconds, as HTTP requires."""
     return float(max(1, math.ceil(min(wait_s, 60.0))))
 
 
--- a/packages/ochreway-routing/src/ochreway_routing/fairqueue.py
+++ b/packages/ochreway-routing/src/ochreway_routing/fairqueue.py
@@ -2,10 +2,10 @@
 """A bounded queue that shares a replica's slots between organisations.
 
 Within a priority class the organisation with the least weighted service goes first, and
-within an organisation the earliest deadline. Every
-few dispatches the oldest work of a lower class goes first, so that nothing starves. When
-the queue is full, work of an organisation that is over its share makes room for work of one
-that is under; an unused share is thereby lent and taken back.
+within an organisation the work with the earliest deadline. Every few dispatches the oldest work of
+the lowest class goes first, so that nothing starves. When the queue is full, work of an
+organisation that is over its share is displaced by work of one that is under its share, so unused
+shares are usable by others and reclaimed on demand.
 """
 
 from bisect import insort
@@ -22,6 +22,7 @@
 T = TypeVar("T")
 
 LOWER_CLASS_INTERVAL = 8
+"""Every how many dispatches the oldest work of the lowest class goes first."""
 
 
 @dataclass(slots=True)
@@ -37,7 +38,7 @@
 
 
 class FairQueue(Generic[T]):
-    """Hold work until a slot is free."""
+    """Queue work until a slot is free."""
 
     def __init__(self, capacity: int, slots: int) -> None:
         self.capacity = capacity
@@ -52,14 +53,14 @@
         return self._length
 
     def set_shares(self, shares: Iterable[tuple[str, int, int]]) -> None:
-        """Take each organisation's weight and guaranteed percentage."""
+        """Set each organisation's weight and guaranteed percentage."""
         for name, weight, guaranteed_percent in shares:
             share = self._share(name)
             share.weight = float(weight)
             share.guaranteed_share = guaranteed_percent / 100.0
 
     def offer(self, work: Work[T]) -> Result[Work[T] | None, Reason]:
-        """Queue the work; return what was displaced for it, or why it is refused."""
+        """Queue the work; return the work that it displaced, or why it is refused."""
         share = self._share(work.organisation)
         displaced = None
         if self._length >= self.capacity:
@@ -75,7 +76,7 @@
         return Ok(displaced)
 
     def ahead_of(self, work: Work[T]) -> tuple[int, float]:
-        """Return about how much would go ahead the work: how many, and their prefill tokens.
+        """Return about how much work goes before this: how many items, and their prefill tokens.
 
         Of other organisations only as much counts as their weights let go first.
         """
@@ -94,7 +95,7 @@
         return ahead + [each for each in same if each.deadline_s <= work.deadline_s]
 
     def dequeue(self) -> Work[T] | None:
-        """Take out the work that goes next; its organisation has one more running."""
+        """Remove and return the next work, and count it as running for its organisation."""
         if not self._length:
             return None
         self._dispatched += 1
@@ -108,12 +109,12 @@
         return work
 
     def release_slot(self, organisation: str) -> None:
-        """Note that one running piece of the organisation's work ended."""
+        """Count one running item of the organisation as ended."""
         share = self._share(organisation)
         share.running = max(0, share.running - 1)
 
     def remove_by_identity(self, identities: "set[int]") -> None:
-        """Drop the work whose identity is among the chosen."""
+        """Remove the work whose ``id()`` is among the identities."""
         for share in self._shares.values():
             for waiting in share.by_priority.values():
                 for work in [each for each in waiting if id(each) in identities]:
@@ -121,13 +122,13 @@
                     self._update_totals(work, share)
 
     def remove_all(self) -> list[Work[T]]:
-        """Empty the queue."""
+        """Remove and return all work."""
         queued_work = list(self.iter_queued())
         self.remove_by_identity({id(work) for work in queued_work})
         return queued_work
 
     def remove_infeasible(self, now_s: float, backlog_s: float) -> list[Work[T]]:
-        """Take out what could not be answered in time even if it were dispatched now."""
+        """Remove and return the work that would miss its deadline even if dispatched now."""
         begin_s = now_s + backlog_s
         infeasible = [
             work for work in self.iter_queued() if begin_s + work.expected_run_s > work.deadline_s
@@ -136,7 +137,7 @@
         return infeasible
 
     def iter_queued(self) -> Iterable[Work[T]]:
-        """Yield what is queued."""
+        """Yield the queued work."""
         for share in self._shares.values():
             for each in share.by_priority.values():
                 yield from each
--- a/packages/ochreway-routing/src/ochreway_routing/incarnations.py
+++ b/packages/ochreway-routing/src/ochreway_routing/incarnations.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Telling lives of a target apart, by when each was born."""
+"""Order of a target's incarnations, by birth time."""
 
 
 def is_older_incarnation(born_ms: int | None, than_ms: int | None) -> bool:
-    """Tell whether one life is over by another; one of which the birth is not known may be any."""
+    """Return whether one incarnation is known to precede another; None is an unknown birth."""
     return born_ms is not None and than_ms is not None and born_ms < than_ms
 
 
--- a/packages/ochreway-routing/src/ochreway_routing/limits.py
+++ b/packages/ochreway-routing/src/ochreway_routing/limits.py
@@ -11,6 +11,7 @@
 from ochreway_routing.retrybudget import RetryBudget
 
 BURST_S = 1.0
+"""How many seconds' worth of requests an organisation may send at once."""
 
 
 @dataclass(slots=True)
@@ -22,7 +23,7 @@
 
 
 class Limits:
-    """Admit requests up to this entry's part of each organisation's limits."""
+    """Admit requests up to this entry's share of each organisation's limits."""
 
     def __init__(self) -> None:
         self._organisations: dict[str, Organisation] = {}
@@ -31,7 +32,7 @@
         self._budgets: dict[str, RetryBudget] = {}
 
     def configure(self, organisations: list[Organisation], entries: int) -> None:
-        """Take the limits in force and the number of entries that share them."""
+        """Set the limits in force and the number of entries that share them."""
         self._organisations = {item.name: item for item in organisations}
         self._entries = max(entries, 1)
 
@@ -40,7 +41,7 @@
         return self._budgets.setdefault(organisation, RetryBudget())
 
     def admit(self, organisation: str, tokens: int, now_s: float) -> Result[None, Refused]:
-        """Count a request in, or say which limit it would pass."""
+        """Count a request as in flight, or return which limit it would exceed."""
         limit = self._organisations.get(organisation)
         if limit is None:
             return Err(Refused(Reason.UNAUTHORISED, 0.0))
@@ -63,7 +64,7 @@
         return Ok(None)
 
     def release(self, organisation: str, tokens: int) -> None:
-        """Count a request out."""
+        """Count a request as ended."""
         usage = self._usage.get(organisation)
         if usage is not None:
             usage.in_flight -= 1
--- a/packages/ochreway-routing/src/ochreway_routing/policies/__init__.py
+++ b/packages/ochreway-routing/src/ochreway_routing/policies/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The routing policies; importing this fills the registry."""
+"""The routing policies; importing this package fills the registry."""
 
 from ochreway_routing.policies.cost import CostPolicy
 from ochreway_routing.policies.leastloaded import LeastLoaded
--- a/packages/ochreway-routing/src/ochreway_routing/policies/cost.py
+++ b/packages/ochreway-routing/src/ochreway_routing/policies/cost.py
@@ -10,21 +10,22 @@
 from ochreway_routing.replica import ReplicaView
 
 TIE_S = 0.03
+"""Replicas whose cost is within this of the least count as tied."""
 
 
 @policy("cost")
 class CostPolicy(Policy):
-    """Take the replica with the least expected time to first token.
+    """Choose the replica with the least expected time to first token.
 
-    Replicas within 30 milliseconds of the least are tied; the caller's rendezvous order
-    breaks the tie, so that entries which know nothing of each other agree and a caller's next
-    turn finds its conversation cached.
+    Replicas within 30 ms of the least are tied. The caller's rendezvous order breaks the tie, so
+    that entries agree without communication and a caller's next turn finds its conversation
+    cached.
     """
 
     def choose(
         self, query: RouteQuery, replicas: Sequence[ReplicaView], now_s: float
     ) -> ReplicaView:
-        """Return the replica of least expected cost."""
+        """Return the replica with the least expected cost."""
         tuning = self.tuning
         average = average_load(replicas)
         prefill_weight = tuning.prefill_weight + tuning.pressure_weight * average.backlog_s
--- a/packages/ochreway-routing/src/ochreway_routing/policies/leastloaded.py
+++ b/packages/ochreway-routing/src/ochreway_routing/policies/leastloaded.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Least loaded of two."""
+"""Less loaded of two random replicas."""
 
 from collections.abc import Sequence
 
@@ -10,7 +10,7 @@
 
 @policy("least_loaded")
 class LeastLoaded(Policy):
-    """Draw two replicas and take the one with less work, as reported and sent since."""
+    """Sample two replicas and choose the one with less work, as reported and sent since."""
 
     def choose(
         self, query: RouteQuery, replicas: Sequence[ReplicaView], now_s: float
--- a/packages/ochreway-routing/src/ochreway_routing/policies/prefixhash.py
+++ b/packages/ochreway-routing/src/ochreway_routing/policies/prefixhash.py
@@ -9,14 +9,15 @@
 from ochreway_routing.replica import ReplicaView
 
 KEY_BLOCKS = 2
+"""How many leading blocks make up the routing key."""
 
 
 @policy("prefix_hash")
 class PrefixHash(Policy):
-    """Send prompts that start alike to one replica, whatever its load.
+    """Send prompts with the same beginning to one replica, whatever its load.
 
-    This is the routing key of "We fight GPU scarcity without compromise": a bounded part of
-    the prompt that does not change from turn to turn.
+    The routing key follows "We fight GPU scarcity without compromise": a bounded part of the
+    prompt that does not change from turn to turn.
     """
 
     def choose(
--- a/packages/ochreway-routing/src/ochreway_routing/policies/roundrobin.py
+++ b/packages/ochreway-routing/src/ochreway_routing/policies/roundrobin.py
@@ -10,7 +10,7 @@
 
 @policy("round_robin")
 class RoundRobin(Policy):
-    """Take each replica in turn."""
+    """Choose each replica in turn."""
 
     _turn = 0
 
--- a/packages/ochreway-routing/src/ochreway_routing/policies/sticky.py
+++ b/packages/ochreway-routing/src/ochreway_routing/policies/sticky.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Sticky by caller."""
+"""Caller affinity."""
 
 from collections.abc import Sequence
 
--- a/packages/ochreway-routing/src/ochreway_routing/policy.py
+++ b/packages/ochreway-routing/src/ochreway_routing/policy.py
@@ -16,7 +16,7 @@
 
 
 class Policy(ABC):
-    """Choose a replica among those that take work."""
+    """Choose a replica among those that accept work."""
 
     def __init__(self, tuning: Tuning, hall: str, rng: random.Random) -> None:
         self.tuning = tuning
@@ -27,7 +27,7 @@
     def choose(
         self, query: RouteQuery, replicas: Sequence[ReplicaView], now_s: float
     ) -> ReplicaView:
-        """Return one of the replicas, of which there is at least one."""
+        """Return one of the replicas; there is at least one."""
 
 
 def policy(name: str) -> Callable[[P], P]:
--- a/packages/ochreway-routing/src/ochreway_routing/prefix.py
+++ b/packages/ochreway-routing/src/ochreway_routing/prefix.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 """Chained hashes of a prompt's leading blocks.
 
-Two prompts share a cached prefix up to the last hash that they share, so a partial match
-counts. The idea of scoring overlap by block, and of reading no more of a body than needed,
-is from "We fight GPU scarcity without compromise".
+Two prompts share a cached prefix up to their last common hash, so a partial match counts. Scoring
+the overlap by block, and reading no more of a body than needed, follows "We fight GPU scarcity
+without compromise".
 """
 
 import xxhash
@@ -11,13 +11,14 @@
 BLOCK_BYTES = 256
 BLOCK_TOKENS = 64
 MAX_BLOCKS = 64
+"""Bound on the leading blocks that are hashed."""
 
 
 def prompt_block_hashes(target: str, prompt: bytes) -> tuple[int, ...]:
-    """Return the chained hashes of the prompt's whole leading blocks.
+    """Return the chained hashes of the prompt's complete leading blocks.
 
     Args:
-        target: the model's name; another model's cache is of no use.
+        target: the model's name, part of the hash as caches are not shared between models.
         prompt: the prompt's bytes as the engine would see them.
     """
     chain = xxhash.xxh64_intdigest(target.encode())
--- a/packages/ochreway-routing/src/ochreway_routing/prefixindex.py
+++ b/packages/ochreway-routing/src/ochreway_routing/prefixindex.py
@@ -1,15 +1,17 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What one entry believes a replica's prefix cache holds."""
+"""Estimated content of a replica's prefix cache."""
 
 import math
 from collections import OrderedDict
 
 HALF_LIFE_S = 120.0
+"""Age at which a block counts half, as it may have been evicted unnoticed."""
 MAX_INDEXED_BLOCKS = 8192
+"""Bound on the blocks kept for a replica."""
 
 
 class PrefixIndex:
-    """Remember blocks by when they were last known to be cached, least recent first."""
+    """Keep block hashes by when they were last known to be cached, least recent first."""
 
     def __init__(self, capacity: int = MAX_INDEXED_BLOCKS) -> None:
         self._capacity = capacity
@@ -19,7 +21,7 @@
         return len(self._last_seen_s)
 
     def add(self, blocks: tuple[int, ...], now_s: float) -> None:
-        """Note that the blocks are cached."""
+        """Record that the blocks are cached."""
         for block in blocks:
             self._last_seen_s[block] = now_s
             self._last_seen_s.move_to_end(block)
@@ -27,19 +29,19 @@
             self._last_seen_s.popitem(last=False)
 
     def remove(self, blocks: tuple[int, ...]) -> None:
-        """Note that the blocks were evicted."""
+        """Record that the blocks were evicted."""
         for block in blocks:
             self._last_seen_s.pop(block, None)
 
     def clear(self) -> None:
-        """Forget everything: the engine started anew."""
+        """Remove all blocks, as after a restart of the engine."""
         self._last_seen_s.clear()
 
     def expected_blocks(self, blocks: tuple[int, ...], now_s: float) -> float:
         """Return how many leading blocks are expected to be cached, discounted by age.
 
-        A block is cached only behind those before it, so the deepest known one counts for
-        all of them: events of some may have been lost.
+        A block is cached only if those before it are, so the deepest known block counts for all
+        of them; events of some may have been lost.
         """
         if not self._last_seen_s:
             return 0.0
--- a/packages/ochreway-routing/src/ochreway_routing/query.py
+++ b/packages/ochreway-routing/src/ochreway_routing/query.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What a routing decision needs to know of a request."""
+"""The request as routing decisions see it."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteQuery:
-    """Describe a request to the router."""
+    """Hold the fields of a request that the router uses."""
 
     target: str
     caller: str
--- a/packages/ochreway-routing/src/ochreway_routing/refused.py
+++ b/packages/ochreway-routing/src/ochreway_routing/refused.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A request that is turned away before anything ran."""
+"""Refusal of a request before any of it ran."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Say why, and when to come back."""
+    """Hold why a request is refused and after what time to retry."""
 
     reason: Reason
     retry_after_s: float
--- a/packages/ochreway-routing/src/ochreway_routing/replica.py
+++ b/packages/ochreway-routing/src/ochreway_routing/replica.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class SentAttempt:
-    """Hold what an attempt adds to a replica's load."""
+    """Hold the load that an attempt adds to a replica."""
 
     sequence: int
     sent_s: float
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class ReplicaView:
-    """Combine a replica's lagged reports with what this entry sent it since."""
+    """Combine a replica's delayed load reports with what this entry sent it since."""
 
     group: GroupId
     target: str
@@ -45,16 +45,16 @@
     opened_s: float = NEVER_S
     reopens_s: float = NEVER_S
     backoff_reason: Reason = Reason.BACKOFF
-    """Why it takes nothing until then."""
+    """Why the replica accepts nothing until ``reopens_s``."""
     slowness: float = 1.0
     unreported: dict[str, SentAttempt] = field(default_factory=dict)
-    """What this entry sent too late for the last report to include, oldest first."""
+    """Attempts of this entry that the last report does not include yet, oldest first."""
     unreported_tokens: float = 0.0
     prefixes: PrefixIndex = field(default_factory=PrefixIndex)
     ejection: Ejection = field(default_factory=Ejection)
 
     def on_load_report(self, report: LoadReport, now_s: float) -> None:
-        """Take in a load report."""
+        """Apply a load report."""
         if report.incarnation != self.incarnation:
             self.prefixes.clear()
         if report.gate is Reason.NONE and self.gate is not Reason.NONE:
@@ -80,7 +80,7 @@
         self.unreported_tokens += sent.prefill_tokens
 
     def remove_attempt(self, attempt: str) -> None:
-        """Count an attempt out."""
+        """Stop counting an attempt."""
         sent = self.unreported.pop(attempt, None)
         if sent is not None:
             self.unreported_tokens -= sent.prefill_tokens
@@ -93,26 +93,26 @@
             self.remove_attempt(attempt)
 
     def staleness_s(self, now_s: float) -> float:
-        """Return how old the last report's content is at least.
+        """Return the minimum age of the last report's content.
 
-        The oldest of this entry's attempts that it does not include tells, without a clock
-        that both ends share.
+        It is that of this entry's oldest attempt that the report does not include, which needs
+        no clock that both ends share.
         """
         for oldest in self.unreported.values():
             return now_s - min(oldest.sent_s, self.reported_s)
         return now_s - self.reported_s
 
     def back_off(self, until_s: float, reason: Reason = Reason.BACKOFF) -> None:
-        """Send nothing until a time, as the target asked or will not take anything."""
+        """Send nothing until a time, as the target requested it or accepts nothing."""
         if until_s > self.reopens_s:
             self.reopens_s, self.backoff_reason = until_s, reason
 
     def backoff_s(self, now_s: float) -> float:
-        """Return for how much longer the replica is to get nothing."""
+        """Return for how much longer to send the replica nothing."""
         return max(0.0, self.reopens_s - now_s)
 
     def accepts_work(self, now_s: float, max_report_age_s: float) -> bool:
-        """Tell whether the replica is known to take work."""
+        """Return whether the replica is known to accept work."""
         if self.backoff_s(now_s):
             return False
         if self.legacy_percent:
--- a/packages/ochreway-routing/src/ochreway_routing/retry.py
+++ b/packages/ochreway-routing/src/ochreway_routing/retry.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What follows the end of an attempt."""
+"""The decision whether to retry after an attempt."""
 
 from enum import Enum
 
@@ -8,14 +8,14 @@
 
 
 class Action(Enum):
-    """Say what is done with a request whose attempt ended."""
+    """Name what is done with a request whose attempt ended."""
 
     ANSWER = "answer"
     RETRY = "retry"
 
 
 _ACTIONS: dict[tuple[Outcome, bool, bool], Action] = {
-    # (outcome, repeatable, streamed yet)
+    # (outcome, repeatable, already streamed to the caller)
     (Outcome.ANSWERED, False, False): Action.ANSWER,
     (Outcome.ANSWERED, False, True): Action.ANSWER,
     (Outcome.ANSWERED, True, False): Action.ANSWER,
@@ -43,7 +43,7 @@
 
 
 def next_action(outcome: Outcome, reason: Reason, repeatable: bool, streamed: bool) -> Action:
-    """Return what follows an attempt's end."""
+    """Return what to do after an attempt ended."""
     if reason in _FINAL_REASONS:
         return Action.ANSWER
     return _ACTIONS[outcome, repeatable, streamed]
--- a/packages/ochreway-routing/src/ochreway_routing/router.py
+++ b/packages/ochreway-routing/src/ochreway_routing/router.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Where each request goes, as one entry decides it."""
+"""Choice of a replica for each request, as made by one entry."""
 
 import random
 from collections.abc import Iterable
@@ -26,10 +26,11 @@
 
 DEFAULT_POLICY = "cost"
 CLOSED_RETRY_DELAY_S = 2.0
+"""Retry delay stated when no replica accepts work and the time of reopening is unknown."""
 
 
 class Router:
-    """Hold this entry's view of the replicas and choose among them."""
+    """Keep this entry's view of the replicas and choose among them."""
 
     def __init__(
         self,
@@ -45,7 +46,7 @@
         self._policy = POLICIES[policy](self.tuning, hall, rng)
 
     def set_replicas(self, replicas: Iterable[ReplicaView]) -> None:
-        """Take the groups that exist now, keeping what is known of those that stay."""
+        """Replace the set of groups, keeping the state of those that remain."""
         updated = {each.group: each for each in replicas}
         for group, replica in updated.items():
             known = self.replicas.get(group)
@@ -60,7 +61,7 @@
             self._by_target.setdefault(replica.target, []).append(replica)
 
     def on_load_report(self, report: LoadReport, now_s: float) -> None:
-        """Take in a load report."""
+        """Apply a load report."""
         replica = self.replicas.get(report.group)
         if replica is not None:
             replica.on_load_report(report, now_s)
@@ -68,7 +69,7 @@
     def choose(
         self, query: RouteQuery, tried: frozenset[GroupId], now_s: float
     ) -> Result[ReplicaView, Refused]:
-        """Choose a replica that was not tried, or say why there is none."""
+        """Choose a replica that was not tried yet, or return why there is none."""
         known = self._by_target.get(query.target, [])
         if not known:
             return Err(Refused(Reason.NO_GROUP, CLOSED_RETRY_DELAY_S))
@@ -80,7 +81,7 @@
         if not untried:
             return Err(_refusal(known, now_s))
         chosen = self._policy.choose(query, self._without_ejected(untried, known, now_s), now_s)
-        # The queue's order is the leader's to know; here only the hopeless is refused.
+        # Only the leader knows its queue's order; refuse only what cannot meet the deadline anyway.
         prefill_s = expected_prefill_tokens(query, chosen, now_s) * self.tuning.prefill_s_per_token
         wait_s = chosen.next_s + prefill_s + self._decode_s(query)
         left_s = query.deadline_s - now_s
@@ -91,7 +92,7 @@
     def expected_first_token_s(
         self, query: RouteQuery, replica: ReplicaView, now_s: float
     ) -> float:
-        """Return the time to first token expected at a replica."""
+        """Return the request's expected time to first token at a replica."""
         average = average_load(self._by_target.get(query.target, []))
         return expected_first_token_s(query, replica, average, self.tuning, self.hall, now_s)
 
@@ -103,7 +104,7 @@
     def _apply_legacy_share(
         self, query: RouteQuery, replicas: list[ReplicaView]
     ) -> list[ReplicaView]:
-        """Keep the targets of the operators' old tools for their share, the groups else."""
+        """Keep the legacy targets for their share of the requests, else the groups."""
         percent = max((each.legacy_percent for each in replicas), default=0)
         to_legacy = percent > 0 and weight("legacy", query.share_key) % 100 < percent
         return [each for each in replicas if bool(each.legacy_percent) == to_legacy]
@@ -120,26 +121,26 @@
     def record_sent(
         self, replica: ReplicaView, attempt: str, sequence: int, query: RouteQuery, now_s: float
     ) -> None:
-        """Note that an attempt was sent to a replica."""
+        """Record that an attempt was sent to a replica."""
         tokens = expected_prefill_tokens(query, replica, now_s)
         replica.add_attempt(attempt, SentAttempt(sequence, now_s, tokens))
         replica.prefixes.add(query.blocks, now_s)
 
     def record_first_token(self, replica: ReplicaView, expected_s: float, took_s: float) -> None:
-        """Learn how slow the replica is from one first token."""
+        """Update the replica's slowness from one time to first token."""
         ratio = min(max(took_s / max(expected_s, 0.02), 0.5), 20.0)
         weight = self.tuning.slowness_weight
         replica.slowness = max(1.0, (1.0 - weight) * replica.slowness + weight * ratio)
 
     def record_answer(self, group: GroupId, attempt: str) -> None:
-        """Note that an attempt ended well."""
+        """Record that an attempt was answered."""
         replica = self.replicas.get(group)
         if replica is not None:
             replica.remove_attempt(attempt)
             replica.ejection.record_success()
 
     def back_off(self, group: GroupId, until_s: float, reason: Reason = Reason.BACKOFF) -> None:
-        """Choose a replica no more until a time, as its target asked."""
+        """Stop choosing a replica until a time, as its target requested."""
         replica = self.replicas.get(group)
         if replica is not None:
             replica.back_off(until_s, reason)
@@ -147,13 +148,13 @@
     def record_failure(
         self, group: GroupId, attempt: str, replica_at_fault: bool, now_s: float
     ) -> bool:
-        """Note that an attempt ended badly; return whether its replica is ejected by it.
+        """Record that an attempt failed; return whether that ejects its replica.
 
         Args:
             group: the replica's group.
-            attempt: what ended.
-            fault: whether the replica is to blame, not its load or a planned stop.
-            now_s: the time.
+            attempt: the attempt that ended.
+            fault: whether the replica caused it, rather than its load or a planned stop.
+            now_s: the current time.
         """
         replica = self.replicas.get(group)
         if replica is None:
@@ -168,7 +169,7 @@
 
 
 def _refusal(known: list[ReplicaView], now_s: float) -> Refused:
-    """Return the refusal when no replica takes work, with the true time where one is known."""
+    """Return the refusal when no replica accepts work, with the actual wait where known."""
     backing_off = [each for each in known if each.backoff_s(now_s)]
     if backing_off:
         first = min(backing_off, key=lambda each: each.backoff_s(now_s))
--- a/packages/ochreway-routing/src/ochreway_routing/servicemeter.py
+++ b/packages/ochreway-routing/src/ochreway_routing/servicemeter.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How fast a replica works, as its leader learns it from what it hands over."""
+"""A replica's service rates, as its leader measures them on handed-over requests."""
 
 from dataclasses import dataclass, field
 from typing import Generic, TypeVar
@@ -10,10 +10,13 @@
 K = TypeVar("K")
 
 LEARN_WEIGHT = 0.1
+"""Weight of a new sample in the moving averages."""
 MIN_LEARN_TOKENS = 32
+"""Shortest prefill that updates the prefill rate."""
 MIN_ANSWER_TOKENS = 2
+"""Shortest answer that updates the decode rate."""
 MAX_EXPECTED_TOKENS = 512
-"""Callers often allow far more tokens than they get; no more than this is held against them."""
+"""Bound on the tokens expected of an answer; callers often allow far more than they get."""
 
 
 @dataclass(slots=True)
@@ -25,23 +28,23 @@
 
 @dataclass(slots=True)
 class ServiceMeter(Generic[K]):
-    """Estimate what is ahead in the engine, and what a request will take.
+    """Estimate the engine's backlog and how long a request takes.
 
-    Prefill is taken to be done one request after another, decode side by side.
+    Prefill is assumed to run one request after another, decode concurrently.
     """
 
     prefill_s_per_token: float = 0.00012
     decode_s_per_token: float = 0.02
     run_s: float = 1.0
     answer_share: float = 0.5
-    """The share of their allowed tokens that answers use."""
+    """Fraction of the allowed tokens that answers use."""
     prefixes: PrefixIndex = field(default_factory=PrefixIndex)
     outstanding_tokens: float = 0.0
     _running: dict[K, _Running] = field(default_factory=dict)
     _last_first_token_s: float = -1.0e9
 
     def prefill_tokens(self, blocks: tuple[int, ...], prompt_tokens: int, now_s: float) -> float:
-        """Return the prompt's tokens less those expected to be cached."""
+        """Return the prompt's tokens minus those expected to be cached."""
         cached = self.prefixes.expected_blocks(blocks, now_s) * BLOCK_TOKENS
         return max(prompt_tokens - cached, 1.0)
 
@@ -52,29 +55,29 @@
         return prefill_tokens * self.prefill_s_per_token + decode_s
 
     def next_s(self, slots: int) -> float:
-        """Return when the next hand-over is expected to begin its prefill."""
+        """Return after what time the next hand-over is expected to begin its prefill."""
         full = len(self._running) >= slots
         return self.backlog_s + (self.run_s / slots if full else 0.0)
 
     def wait_s(self, ahead: int, ahead_tokens: float, slots: int) -> float:
-        """Return how long work waits for its prefill with so much ahead in the queue."""
+        """Return how long work waits for its prefill behind the given queue."""
         excess = max(0, len(self._running) + ahead + 1 - slots)
         prefill_s = ahead_tokens * self.prefill_s_per_token
         return self.backlog_s + max(prefill_s, excess * self.run_s / slots)
 
     @property
     def backlog_s(self) -> float:
-        """Return how long the prefill that was handed over is expected to take."""
+        """Return how long the handed-over prefill is expected to take."""
         return self.outstanding_tokens * self.prefill_s_per_token
 
     def record_start(self, key: K, blocks: tuple[int, ...], tokens: float, now_s: float) -> None:
-        """Note a hand-over."""
+        """Record that a request was handed over."""
         self._running[key] = _Running(now_s, tokens)
         self.outstanding_tokens += tokens
         self.prefixes.add(blocks, now_s)
 
     def record_first_token(self, key: K, now_s: float) -> None:
-        """Note that a request's prefill is done, and learn from how long it took."""
+        """Record the end of a request's prefill and update the prefill rate."""
         running = self._running.get(key)
         if running is None or running.first_token_s is not None:
             return
@@ -87,7 +90,7 @@
             self.prefill_s_per_token += LEARN_WEIGHT * (rate - self.prefill_s_per_token)
 
     def record_end(self, key: K, tokens: int, max_tokens: int, now_s: float) -> None:
-        """Note a request's end, and learn from a whole answer."""
+        """Record a request's end; update the decode rate if it got past its first token."""
         running = self._running.pop(key, None)
         if running is None:
             return
--- a/packages/ochreway-routing/src/ochreway_routing/slidingwindow.py
+++ b/packages/ochreway-routing/src/ochreway_routing/slidingwindow.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Counting requests within a span that slides along."""
+"""Count of requests within a sliding window."""
 
 from collections import deque
 
 
 class SlidingWindow:
-    """Count what was sent within a span, which may change its length."""
+    """Count the requests sent within a window, whose length may change."""
 
     def __init__(self) -> None:
         self._sent_s: deque[float] = deque()
@@ -15,7 +15,7 @@
         self._sent_s.append(now_s)
 
     def free_in_s(self, max_requests: int, window_s: float, now_s: float) -> float:
-        """Return after what time fewer than so many were sent within a span; 0 if it is so now."""
+        """Return after what time another request fits into the window; 0 if it does now."""
         while self._sent_s and now_s - self._sent_s[0] >= window_s:
             self._sent_s.popleft()
         excess = len(self._sent_s) - max_requests
--- a/packages/ochreway-routing/src/ochreway_routing/targetlimits.py
+++ b/packages/ochreway-routing/src/ochreway_routing/targetlimits.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How many requests a second targets take from all callers together, as they named it."""
+"""Request rate limits that targets state for all their callers together."""
 
 import itertools
 from collections.abc import Callable
@@ -8,12 +8,12 @@
 from ochreway_routing.incarnations import is_older_incarnation
 
 MAX_TARGETS = 4096
-"""Of how many targets something is kept: more than are listed at the size designed for, 3,000."""
+"""Bound on the targets remembered; the design size is 3,000 listed targets."""
 
 
 @dataclass(frozen=True, slots=True)
 class LimitNotice:
-    """Hold what one life of a target named, and when; without a limit it said that it has none."""
+    """Hold the limit that one incarnation of a target stated, and when; None states no limit."""
 
     limit_per_s: float | None
     received_s: float
@@ -21,22 +21,26 @@
 
 
 class TargetLimits:
-    """Keep the newest notice of each target that named a limit, for as long as it says so.
+    """Keep the newest notice of each target that states or stated a limit.
 
-    That a limit is over is kept too: whoever was sent away by it hears of its end from others
-    only, and must not take an older notice for a newer one.
+    The end of a limit is kept too: an entry that stopped sending because of the limit learns of
+    its end from other entries only, and must not accept an older notice after it.
     """
 
     def __init__(self, max_targets: int = MAX_TARGETS) -> None:
-        """Start with no limits; of so many targets at the most something is kept."""
+        """Start without limits; remember at most ``max_targets`` targets."""
         self._max_targets = max_targets
         self._notices: dict[str, LimitNotice] = {}
         self._changed_s: dict[str, float] = {}
 
     def record_limit(self, target: str, notice: LimitNotice, now_s: float | None = None) -> bool:
-        """Take a notice if it is newer than the one known; return whether another limit holds.
+        """Record a notice if it is newer than the known one; return whether the limit changed.
 
-        It is taken ``now_s``, when it was heard or, from another entry, later.
+        Args:
+            target: the target that stated the limit.
+            notice: what it stated.
+            now_s: when this process learned of it, which is later than ``notice.received_s`` if
+                another entry received it; None if they are the same.
         """
         known = self._notices.get(target)
         if known is None and notice.limit_per_s is None:
@@ -53,7 +57,7 @@
         return True
 
     def _evict(self) -> None:
-        """Forget limits that are over and, if that is not enough, what was heard first."""
+        """Remove ended limits and, if that is not enough, the oldest entries."""
         if len(self._notices) < self._max_targets:
             return
         self._notices = {
@@ -64,22 +68,22 @@
         self._changed_s = {n: at for n, at in self._changed_s.items() if n in self._notices}
 
     def limit_per_s(self, target: str, born_ms: int | None = None) -> float | None:
-        """Return the limit that holds for a life of a target, or None when there is none."""
+        """Return the limit in force for an incarnation of a target, or None without one."""
         notice = self._notices.get(target)
         if notice is None or is_older_incarnation(notice.born_ms, born_ms):
             return None
         return notice.limit_per_s
 
     def latest_notice(self, target: str) -> LimitNotice | None:
-        """Return the newest notice of a target."""
+        """Return a target's newest notice, or None without one."""
         return self._notices.get(target)
 
     def targets(self) -> list[str]:
-        """Return the targets of which a notice is known, those heard last at the end."""
+        """Return the targets with a known notice, oldest first."""
         return list(self._notices)
 
     def changed_since(self, since_s: float) -> list[str]:
-        """Return the targets whose limit changed since a time, at the end those that did last."""
+        """Return the targets whose limit changed since a time, oldest change first."""
         for target in list(itertools.takewhile(self._changed_before(since_s), self._changed_s)):
             del self._changed_s[target]
         return list(self._changed_s)
--- a/packages/ochreway-routing/src/ochreway_routing/tuning.py
+++ b/packages/ochreway-routing/src/ochreway_routing/tuning.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The numbers that routing starts from."""
+"""Parameters of routing."""
 
 from dataclasses import dataclass
 
@@ -8,9 +8,9 @@
 class Tuning:
     """Hold the costs and bounds of routing decisions.
 
-    ``prefill_weight`` charges prefill more than its own time: it also delays what comes after,
-    and makes a conversation's cache stand in two places. ``pressure_weight`` adds to it for
-    each second of average backlog, as the more waits, the more is delayed.
+    ``prefill_weight`` charges prefill more than its own time: it also delays the requests behind
+    it, and duplicates a conversation's cache on a second replica. ``pressure_weight`` adds to it
+    for each second of average backlog, as more requests are delayed then.
     """
 
     prefill_s_per_token: float = 0.00012
--- a/packages/ochreway-routing/src/ochreway_routing/work.py
+++ b/packages/ochreway-routing/src/ochreway_routing/work.py
@@ -11,9 +11,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Work(Generic[T]):
-    """Describe one piece of work to the fair queue.
+    """Describe one work item to the fair queue.
 
-    ``needed_s`` is how long it is expected to run at the least.
+    ``expected_run_s`` is the minimum time that it is expected to run.
     """
 
     item: T
--- a/tests/routing/test_backoffs.py
+++ b/tests/routing/test_backoffs.py
@@ -10,7 +10,7 @@
 
 LEAVES = TargetNotice(leaving=True)
 FIRST_BORN_MS, SECOND_BORN_MS = 1000, 2000
-"""When two lives of a target began."""
+"""Birth times of two incarnations of a target."""
 
 
 class BackoffsTests(testtools.TestCase):
--- a/tests/routing/test_crashbook.py
+++ b/tests/routing/test_crashbook.py
@@ -125,7 +125,7 @@
     def test_entries_with_the_same_sightings_agree(
         self, crashes: list[tuple[InstanceId, int]], rng: object, delay_s: float
     ) -> None:
-        """Words come in any order, each as often as it likes, up to half a second late."""
+        """Sightings arrive in any order, some repeatedly, up to half a second late."""
         reported = [(target, 10.0 + n * 10.0) for target, n in crashes]
         first, second = CrashBook(), CrashBook()
         for target, at_s in reported:
--- a/tests/routing/test_targetlimits.py
+++ b/tests/routing/test_targetlimits.py
@@ -4,7 +4,7 @@
 from ochreway_routing.targetlimits import LimitNotice, TargetLimits
 
 FIRST_BORN_MS, SECOND_BORN_MS = 1_000, 2_000
-"""When two lives of a target were born."""
+"""Birth times of two incarnations of a target."""
 
 
 class TargetLimitsTests(testtools.TestCase):
