--- a/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
@@ -211,12 +211,12 @@
 
 @guard("fatal_requests", ("fatal_quiet",), ("fatal_request",), 1)
 def _fatal_requests() -> contextlib.AbstractContextManager[Any]:
-    return mock.patch.object(CrashBook, "asked", lambda book, fingerprint, now_s: NOT_FATAL)
+    return mock.patch.object(CrashBook, "check_request", lambda book, fingerprint, now_s: NOT_FATAL)
 
 
 @guard("crashes_told", ("fatal_quiet",), ("fatal_request", "kill_entry"), 6, 2)
 def _crashes_told() -> contextlib.AbstractContextManager[Any]:
-    return mock.patch.object(CrashBook, "hear", lambda book, sighting, heard_s: False)
+    return mock.patch.object(CrashBook, "merge_sighting", lambda book, sighting, heard_s: False)
 
 
 @guard("backoff_kept", ("backoff_quiet",), ("target_busy",))
