--- a/packages/ochreway-direct/src/ochreway_direct/bounds/meanswatch.py
+++ b/packages/ochreway-direct/src/ochreway_direct/bounds/meanswatch.py
@@ -7,7 +7,7 @@
 from ochreway_direct.bounds.resource import Resource
 from ochreway_direct.entries.peers import Peers
 from ochreway_direct.relay.callerconnections import CallerConnections
-from ochreway_direct.relay.restingbounds import RestingBounds
+from ochreway_direct.relay.idlelimits import IdleLimits
 from ochreway_direct.serving import Serving
 from ochreway_runtime.logs import EventLog
 from ochreway_runtime.metrics import Metrics
@@ -35,12 +35,12 @@
         peers: Peers,
         log: EventLog,
         metrics: Metrics,
-        resting: RestingBounds | None = None,
+        resting: IdleLimits | None = None,
         memory: MemoryReader | None = None,
     ) -> None:
         self.callers = CallerConnections(means.callers)
-        self.resting = resting or RestingBounds()
-        self.resting.in_all = means.resting
+        self.resting = resting or IdleLimits()
+        self.resting.max_total = means.resting
         self.shares: dict[Resource, float] = dict.fromkeys(Resource, 0.0)
         self._means = means
         self._serving = serving
@@ -106,7 +106,7 @@
         services = routes.configuration.services if routes is not None else ()
         allowed = [s.connections_at_most for s in services if s.connections_at_most]
         entries = 1 + len(self._peers.all())
-        self.resting.at_one = max(1, min(allowed) // entries) if allowed else None
+        self.resting.max_per_target = max(1, min(allowed) // entries) if allowed else None
 
 
 __all__ = ["CHECK_S", "MeansWatch"]
--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -48,7 +48,7 @@
 from ochreway_direct.noticewatch import NoticeWatch
 from ochreway_direct.platformhealth import PlatformHealth
 from ochreway_direct.ports import PlatformServices
-from ochreway_direct.relay.restingbounds import RestingBounds
+from ochreway_direct.relay.idlelimits import IdleLimits
 from ochreway_direct.sendlimits.coldtargets import ColdTargets
 from ochreway_direct.sendlimits.fleetlimit import FleetLimit
 from ochreway_direct.sendlimits.loans import Loans
@@ -97,7 +97,7 @@
         timing: DirectTiming,
         log: EventLog,
         metrics: Metrics,
-        resting: RestingBounds | None = None,
+        resting: IdleLimits | None = None,
     ) -> None:
         """Own the parts given; ``resting`` bounds idle connections to targets."""
         self.settings = settings
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleet.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleet.py
@@ -378,32 +378,32 @@
         self._limit.sent(attempt)
         if self._gate is not None:
             self._gate.sent(attempt)
-        self._under_way[attempt.place].add(attempt)
-        self._unread[attempt.place] += attempt.prompt_tokens
+        self._under_way[attempt.candidate].add(attempt)
+        self._unread[attempt.candidate] += attempt.prompt_tokens
 
     def heard(self, attempt: Attempt, now_s: float) -> None:
         """Note that a part of an answer came; the first shows that the prompt has been read."""
-        if attempt.heard_s is None:
+        if attempt.last_received_s is None:
             self._read(attempt)
         if attempt.written_s is None:
-            attempt.written(now_s)
-        attempt.heard(now_s)
+            attempt.record_written(now_s)
+        attempt.record_received(now_s)
 
     def _read(self, attempt: Attempt) -> None:
-        self._unread[attempt.place] -= attempt.prompt_tokens
-        if not self._unread[attempt.place]:
-            del self._unread[attempt.place]
+        self._unread[attempt.candidate] -= attempt.prompt_tokens
+        if not self._unread[attempt.candidate]:
+            del self._unread[attempt.candidate]
 
     def end(self, attempt: Attempt, failed: bool, now_s: float = 0.0) -> None:
         """Stop counting an attempt, and note how it went."""
         if attempt.written_s is None:
-            attempt.written(max(now_s, attempt.begun_s))
-        running = self._under_way[attempt.place]
+            attempt.record_written(max(now_s, attempt.begun_s))
+        running = self._under_way[attempt.candidate]
         running.discard(attempt)
-        if attempt.heard_s is None:
+        if attempt.last_received_s is None:
             self._read(attempt)
         if not running:
-            del self._under_way[attempt.place]
+            del self._under_way[attempt.candidate]
         self._health[attempt.instance].note(failed)
 
 
@@ -414,7 +414,7 @@
 
 def _last_sign_s(running: Collection[Attempt]) -> float:
     """Return when a group last gave a part of an answer, or should have given the first."""
-    heard = [attempt.heard_s for attempt in running if attempt.heard_s is not None]
+    heard = [attempt.last_received_s for attempt in running if attempt.last_received_s is not None]
     if heard:
         return max(heard)
     return min(attempt.begun_s for attempt in running) + FIRST_ANSWER_S
--- a/packages/ochreway-direct/src/ochreway_direct/main.py
+++ b/packages/ochreway-direct/src/ochreway_direct/main.py
@@ -18,8 +18,8 @@
 from ochreway_direct.lazymetricspage import LazyMetricsPage
 from ochreway_direct.ports.platformservices import ADAPTERS
 from ochreway_direct.relay.callerserver import CallerServer
+from ochreway_direct.relay.idlelimits import IdleLimits
 from ochreway_direct.relay.relay import Relay
-from ochreway_direct.relay.restingbounds import RestingBounds
 from ochreway_direct.relay.targetconnections import TargetConnections
 from ochreway_direct.relay.targetprotocol import TargetConnector
 from ochreway_direct.relay.targetsession import target_session
@@ -116,9 +116,9 @@
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: log.event("hang_up"))
     jar = aiohttp.DummyCookieJar()
-    resting = RestingBounds()
+    resting = IdleLimits()
     to_targets = TargetConnector(lambda: metrics.count("connections.target"), resting)
-    to_one = TargetConnector(lambda: metrics.count("connections.single"), keeps=False)
+    to_one = TargetConnector(lambda: metrics.count("connections.single"), keep_alive=False)
     to_platform = TargetConnector(lambda: metrics.count("connections.platform"))
     async with (
         target_session(to_targets) as kept,
--- a/packages/ochreway-direct/src/ochreway_direct/relay/admission.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/admission.py
@@ -22,7 +22,7 @@
 from ochreway_direct.serving import Serving
 from ochreway_direct.versions.routetable import RouteTable
 
-LINE_EXTRA = 4
+HEADER_LINE_OVERHEAD_BYTES = 4
 """Bytes of a header line beside its name and value."""
 
 
@@ -43,26 +43,28 @@
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         self._check_headers(request)
-        body = await self._body(request)
+        body = await self._read_body(request)
         if isinstance(request.protocol, CallerProtocol) and request.protocol.refused:
-            raise Refused(NOT_RUN_STATUS, Reason.CONNECTIONS_FULL, self._tuning.elsewhere_after_s)
+            raise Refused(
+                NOT_RUN_STATUS, Reason.CONNECTIONS_FULL, self._tuning.retry_after_elsewhere_s
+            )
         if self._serving.closed:
-            raise Refused(NOT_RUN_STATUS, Reason.STOPPING, self._tuning.elsewhere_after_s)
+            raise Refused(NOT_RUN_STATUS, Reason.STOPPING, self._tuning.retry_after_elsewhere_s)
         # Before the routes are read, as what is waited for may bring newer ones.
         await self._serving.keys_proved()
         routes = self._serving.routes
         if routes is None:
-            raise Refused(NOT_RUN_STATUS, Reason.NO_CONFIGURATION, self._tuning.stale_after_s)
+            raise Refused(NOT_RUN_STATUS, Reason.NO_CONFIGURATION, self._tuning.retry_after_stale_s)
         route = routes.route(request.host.partition(":")[0], request.raw_path.partition("?")[0])
         if route is None:
-            raise self._unknown(404, Reason.UNKNOWN_TARGET)
+            raise self._unknown_refusal(404, Reason.UNKNOWN_TARGET)
         if not terms.request:
             raise Refused(400, Reason.BAD_REQUEST)
         call = Call(
             request=request,
             terms=terms,
             route=route,
-            service=_service(route, terms.request),
+            service=_choose_service(route, terms.request),
             organisation=None,
             priority=route.priority,
             body=body,
@@ -73,54 +75,57 @@
         )
         organisation = self._identify(call, routes)
         call.fingerprint = _fingerprint(call)
-        self._bind(call, organisation)
-        self._weigh(call, routes)
+        self._restrict_to_homes(call, organisation)
+        self._estimate_work(call, routes)
         return call
 
     def _check_headers(self, request: web.BaseRequest) -> None:
-        lines = sum(len(name) + len(value) + LINE_EXTRA for name, value in request.raw_headers)
-        if lines + len(request.raw_path) > self._serving.limits.header_bytes:
+        size_bytes = sum(
+            len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES
+            for name, value in request.raw_headers
+        )
+        if size_bytes + len(request.raw_path) > self._serving.limits.header_bytes:
             raise Refused(431, Reason.TOO_LARGE)
 
-    async def _body(self, request: web.BaseRequest) -> bytes:
+    async def _read_body(self, request: web.BaseRequest) -> bytes:
         try:
             async with asyncio.timeout(self._serving.limits.idle_timeout_s):
                 return await request.read()
-        except web.HTTPRequestEntityTooLarge as fault:
-            raise Refused(413, Reason.TOO_LARGE) from fault
-        except TimeoutError as fault:
-            raise Refused(408, Reason.DEADLINE_PASSED) from fault
+        except web.HTTPRequestEntityTooLarge as error:
+            raise Refused(413, Reason.TOO_LARGE) from error
+        except TimeoutError as error:
+            raise Refused(408, Reason.DEADLINE_PASSED) from error
 
     def _identify(self, call: Call, routes: RouteTable) -> Organisation | None:
         """Name the organisation that calls; its keys are trusted only while they are fresh."""
         if call.route.public or not routes.asks_for_keys:
             return None
         if not self._serving.keys_trusted():
-            raise Refused(NOT_RUN_STATUS, Reason.STALE_VERSION, self._tuning.stale_after_s)
+            raise Refused(NOT_RUN_STATUS, Reason.STALE_VERSION, self._tuning.retry_after_stale_s)
         organisation = routes.organisation(call.terms.key)
         if organisation is None:
-            raise self._unknown(401, Reason.UNAUTHORISED)
+            raise self._unknown_refusal(401, Reason.UNAUTHORISED)
         call.organisation = organisation.name
         if organisation.priority is not None:
             call.priority = organisation.priority
         return organisation
 
-    def _bind(self, call: Call, organisation: Organisation | None) -> None:
+    def _restrict_to_homes(self, call: Call, organisation: Organisation | None) -> None:
         """Bind a call to the homes of its route and organisation, where these have any."""
-        theirs = organisation.homes if organisation is not None else ()
-        if not call.route.homes and not theirs:
+        organisation_homes = organisation.homes if organisation is not None else ()
+        if not call.route.homes and not organisation_homes:
             return
-        call.within = self._serving.homes.halls(call.route.homes, theirs)
-        if not call.within:
-            raise Refused(NOT_RUN_STATUS, Reason.NO_HOME, self._tuning.stale_after_s)
+        call.allowed_halls = self._serving.homes.halls(call.route.homes, organisation_homes)
+        if not call.allowed_halls:
+            raise Refused(NOT_RUN_STATUS, Reason.NO_HOME, self._tuning.retry_after_stale_s)
 
-    def _unknown(self, status: int, reason: Reason) -> Refused:
+    def _unknown_refusal(self, status: int, reason: Reason) -> Refused:
         """Refuse what the configuration lacks; a newer one that is not known yet may have it."""
         if self._serving.proved():
             return Refused(status, reason)
-        return Refused(NOT_RUN_STATUS, Reason.STALE_VERSION, self._tuning.stale_after_s)
+        return Refused(NOT_RUN_STATUS, Reason.STALE_VERSION, self._tuning.retry_after_stale_s)
 
-    def _weigh(self, call: Call, routes: RouteTable) -> None:
+    def _estimate_work(self, call: Call, routes: RouteTable) -> None:
         service = routes.service(call.service)
         if service is None or service.engine is None:
             return
@@ -140,7 +145,7 @@
     return fingerprint_of(call.organisation or "", request.method, path, call.body)
 
 
-def _service(route: Route, request: str) -> ServiceName:
+def _choose_service(route: Route, request: str) -> ServiceName:
     """Return one of a route's services, by its weights and the request's id."""
     total = sum(share.weight for share in route.shares)
     point = zlib.crc32(request.encode()) % max(1, total)
--- a/packages/ochreway-direct/src/ochreway_direct/relay/attempt.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/attempt.py
@@ -24,51 +24,51 @@
     instance: InstanceId
     address: str
     hall: HallId
-    place: str
+    candidate: str
     prompt_tokens: int = 0
     begun_s: float = 0.0
-    last: bool = False
+    is_last: bool = False
     group: GroupId | None = None
     epoch: Epoch | None = None
     pace: float = 1.0
     load: int = 0
     lost: bool = False
-    heard_s: float | None = None
+    last_received_s: float | None = None
     written_s: float | None = None
     born_ms: int | None = None
     status: int = 0
     notice: TargetNotice = NO_NOTICE
-    _bound: asyncio.Timeout | None = field(default=None)
+    _timeout: asyncio.Timeout | None = field(default=None)
 
-    def bind(self, bound: asyncio.Timeout) -> None:
+    def set_timeout(self, timeout: asyncio.Timeout) -> None:
         """Take the time bound that the attempt runs under."""
-        self._bound = bound
+        self._timeout = timeout
         if self.lost:
             self._expire()
 
     def abandon(self) -> None:
         """End the attempt, as its target is known to be lost, if another may follow."""
-        if self.last:
+        if self.is_last:
             return
         self.lost = True
         self._expire()
 
-    def written(self, now_s: float) -> None:
+    def record_written(self, now_s: float) -> None:
         """Note that a part of the request was handed to the connection."""
         self.written_s = now_s
 
-    def heard(self, now_s: float) -> None:
+    def record_received(self, now_s: float) -> None:
         """Note that a part of the answer came."""
-        self.heard_s = now_s
+        self.last_received_s = now_s
 
     def extend(self, until_s: float) -> None:
         """Move the time bound."""
-        if self._bound is not None and not self.lost and not self._bound.expired():
-            self._bound.reschedule(until_s)
+        if self._timeout is not None and not self.lost and not self._timeout.expired():
+            self._timeout.reschedule(until_s)
 
     def _expire(self) -> None:
-        if self._bound is not None and not self._bound.expired():
-            self._bound.reschedule(asyncio.get_running_loop().time())
+        if self._timeout is not None and not self._timeout.expired():
+            self._timeout.reschedule(asyncio.get_running_loop().time())
 
 
 __all__ = ["Attempt"]
--- a/packages/ochreway-direct/src/ochreway_direct/relay/call.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/call.py
@@ -35,7 +35,7 @@
     work_s: float
     fingerprint: Fingerprint = Fingerprint("")
     engine: EngineSpec | None = None
-    within: frozenset[HallId] | None = None
+    allowed_halls: frozenset[HallId] | None = None
     runs: int = 0
     sends: int = 0
     on_trial: bool = False
@@ -45,7 +45,7 @@
     resume_after: str | None = None
     answer: web.StreamResponse | None = None
     first_part_s: float | None = None
-    passed_on_s: float | None = None
+    last_forwarded_s: float | None = None
 
     @property
     def last_run(self) -> bool:
@@ -60,7 +60,7 @@
     @property
     def silent_since_s(self) -> float:
         """Return since when the caller has been given nothing."""
-        return self.passed_on_s if self.passed_on_s is not None else self.started_s
+        return self.last_forwarded_s if self.last_forwarded_s is not None else self.started_s
 
     def left_s(self, now_s: float) -> float:
         """Return the time that is left."""
--- a/packages/ochreway-direct/src/ochreway_direct/relay/callerconnections.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/callerconnections.py
@@ -3,7 +3,7 @@
 
 from enum import Enum
 
-SURPLUS_AT_MOST = 100
+MAX_SURPLUS_CONNECTIONS = 100
 """How many connections beyond the bound are still told that they cannot be served here."""
 
 
@@ -20,24 +20,24 @@
 class CallerConnections:
     """Count open connections of callers; without a bound all are served."""
 
-    def __init__(self, at_most: int | None = None) -> None:
-        self.at_most = at_most
+    def __init__(self, max_open: int | None = None) -> None:
+        self.max_open = max_open
         self.open = 0
 
     @property
     def share(self) -> float:
         """Return the share of the bound that is in use."""
-        return self.open / self.at_most if self.at_most else 0.0
+        return self.open / self.max_open if self.max_open else 0.0
 
-    def enter(self) -> Admittance:
+    def admit(self) -> Admittance:
         """Count a new connection and say what becomes of it."""
         self.open += 1
-        if self.at_most is None or self.open <= self.at_most:
+        if self.max_open is None or self.open <= self.max_open:
             return Admittance.SERVED
-        surplus = self.open - self.at_most
-        return Admittance.REFUSED if surplus <= SURPLUS_AT_MOST else Admittance.DROPPED
+        surplus = self.open - self.max_open
+        return Admittance.REFUSED if surplus <= MAX_SURPLUS_CONNECTIONS else Admittance.DROPPED
 
-    def leave(self) -> None:
+    def release(self) -> None:
         """Forget a connection that has closed."""
         self.open -= 1
 
--- a/packages/ochreway-direct/src/ochreway_direct/relay/callerprotocol.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/callerprotocol.py
@@ -11,8 +11,10 @@
 from ochreway_direct.configuration import CallerLimits
 from ochreway_direct.relay.callerconnections import Admittance, CallerConnections
 
-HEADERS_TOO_LATE = b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-HEADERS_TOO_LONG = 431
+HEADER_TIMEOUT_RESPONSE = (
+    b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+)
+HEADERS_TOO_LARGE_STATUS = 431
 
 
 class CallerProtocol(web.RequestHandler):
@@ -24,9 +26,9 @@
         self,
         server: web.Server,
         limits: CallerLimits,
-        bounded: CallerConnections,
+        connections: CallerConnections,
         loop: asyncio.AbstractEventLoop,
-        **more: Any,
+        **options: Any,
     ) -> None:
         super().__init__(
             server,
@@ -34,10 +36,10 @@
             keepalive_timeout=limits.idle_timeout_s,
             max_line_size=limits.header_bytes,
             max_field_size=limits.header_bytes,
-            **more,
+            **options,
         )
         self._limits = limits
-        self._bounded = bounded
+        self._bounded = connections
         self._admittance = Admittance.SERVED
         self._headers_due: asyncio.TimerHandle | None = None
         self._body: StreamReader = EMPTY_PAYLOAD
@@ -49,7 +51,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count the connection; one that is far too many is dropped before it is read."""
-        self._admittance = self._bounded.enter()
+        self._admittance = self._bounded.admit()
         super().connection_made(transport)
         if self._admittance is Admittance.DROPPED and isinstance(transport, asyncio.Transport):
             transport.abort()
@@ -59,19 +61,19 @@
 
         They may begin while the request before them is still answered.
         """
-        heads = self._request_count
-        of_head = self._body.is_eof()
+        requests_before = self._request_count
+        in_headers = self._body.is_eof()
         super().data_received(data)
-        if self._request_count > heads:
+        if self._request_count > requests_before:
             self._body = self._messages[-1][1]
-            self._stop_waiting()
-        elif data and of_head and self._headers_due is None:
-            self._await_headers()
+            self._cancel_header_timer()
+        elif data and in_headers and self._headers_due is None:
+            self._start_header_timer()
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Forget the connection."""
-        self._stop_waiting()
-        self._bounded.leave()
+        self._cancel_header_timer()
+        self._bounded.release()
         super().connection_lost(exc)
 
     def handle_error(
@@ -83,30 +85,30 @@
     ) -> web.StreamResponse:
         """Answer what cannot be read as a request, without a line in the log for each."""
         if status == web.HTTPBadRequest.status_code:
-            code = HEADERS_TOO_LONG if isinstance(exc, LineTooLong) else status
+            code = HEADERS_TOO_LARGE_STATUS if isinstance(exc, LineTooLong) else status
             answer = web.Response(status=code, text=f"{message or 'not a request'}\n")
             answer.force_close()
             return answer
         return super().handle_error(request, status, exc, message)
 
-    def _await_headers(self) -> None:
+    def _start_header_timer(self) -> None:
         self._headers_due = self._loop.call_later(
-            self._limits.header_timeout_s, self._give_up_headers
+            self._limits.header_timeout_s, self._on_header_timeout
         )
 
-    def _stop_waiting(self) -> None:
+    def _cancel_header_timer(self) -> None:
         if self._headers_due is not None:
             self._headers_due.cancel()
             self._headers_due = None
 
-    def _give_up_headers(self) -> None:
+    def _on_header_timeout(self) -> None:
         self._headers_due = None
         if self._request_in_progress or self._messages:
             # The answers of whole requests go first.
-            self._await_headers()
+            self._start_header_timer()
             return
         if self.transport is not None:
-            self.transport.write(HEADERS_TOO_LATE)
+            self.transport.write(HEADER_TIMEOUT_RESPONSE)
         self.force_close()
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/relay/callerserver.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/callerserver.py
@@ -16,25 +16,27 @@
     """Give each new connection the limits of the configuration in force then."""
 
     def __init__(
-        self, serving: Serving, relay: Relay, bounded: CallerConnections | None = None
+        self, serving: Serving, relay: Relay, caller_connections: CallerConnections | None = None
     ) -> None:
         """Serve the connections that ``bounded`` lets in; without it, all."""
         super().__init__(
             relay.handle,
-            request_factory=self._request,
+            request_factory=self._build_request,
             handler_cancellation=True,
             access_log=None,
             auto_decompress=False,
         )
         self._serving = serving
-        self._bounded = bounded or CallerConnections()
+        self._caller_connections = caller_connections or CallerConnections()
 
     def __call__(self) -> web.RequestHandler:
         """Return the protocol of a new connection."""
         limits = self._serving.limits
-        return CallerProtocol(self, limits, self._bounded, loop=self._loop, **self._kwargs)
+        return CallerProtocol(
+            self, limits, self._caller_connections, loop=self._loop, **self._kwargs
+        )
 
-    def _request(
+    def _build_request(
         self, message: Any, payload: Any, protocol: Any, writer: Any, task: asyncio.Task[None]
     ) -> web.BaseRequest:
         return web.BaseRequest(
--- a/packages/ochreway-direct/src/ochreway_direct/relay/calllog.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/calllog.py
@@ -11,7 +11,7 @@
 from ochreway_direct.serving import Serving
 from ochreway_runtime.logs import EventLog
 
-DIGITS = 3
+DURATION_DIGITS = 3
 """Durations are written to the ms."""
 
 
@@ -48,8 +48,8 @@
             limit_per_s=attempt.notice.limit_per_s or "",
             leaving=attempt.notice.leaving,
             lost=attempt.lost,
-            took_s=round(now_s - begun_s, DIGITS),
-            left_s=round(call.left_s(now_s), DIGITS),
+            took_s=round(now_s - begun_s, DURATION_DIGITS),
+            left_s=round(call.left_s(now_s), DURATION_DIGITS),
         )
 
     def refused(self, request: str, call: Call | None, refused: Refused) -> None:
@@ -60,18 +60,20 @@
             "status": refused.status,
             "reason": refused.reason.value,
             "version": self._serving.version,
-            "proof_age_s": round(self._serving.freshness.age_s(now_s), DIGITS),
+            "proof_age_s": round(self._serving.freshness.age_s(now_s), DURATION_DIGITS),
             "view": self._fleet.shown,
         }
         if call is not None:
-            fields |= self._of_call(call, now_s)
-            fields["places"] = len(self._fleet.places(call.service, call.terms.model, call.within))
+            fields |= self._call_fields(call, now_s)
+            fields["places"] = len(
+                self._fleet.places(call.service, call.terms.model, call.allowed_halls)
+            )
         self._log.failure("refused", **fields)
 
     def broken(self, call: Call | None, request: str, broken: AnswerBroken) -> None:
         """Write that an answer broke off after its caller was given a part of it."""
         now_s = asyncio.get_running_loop().time()
-        fields = self._of_call(call, now_s) if call is not None else {}
+        fields = self._call_fields(call, now_s) if call is not None else {}
         self._log.failure("broken", request=request, reason=broken.reason.value, **fields)
 
     def answered(self, call: Call, status: int) -> None:
@@ -85,19 +87,19 @@
             request=call.terms.request,
             status=status,
             late=late,
-            first_s=round(first_s, DIGITS),
+            first_s=round(first_s, DURATION_DIGITS),
             objective_s=call.route.objective_s,
-            **self._of_call(call, now_s),
+            **self._call_fields(call, now_s),
         )
 
-    def _of_call(self, call: Call, now_s: float) -> dict[str, object]:
+    def _call_fields(self, call: Call, now_s: float) -> dict[str, object]:
         return {
             "fingerprint": call.fingerprint,
             "service": call.service,
             "model": call.terms.model or "",
             "given_s": call.terms.deadline_s or "",
-            "took_s": round(now_s - call.started_s, DIGITS),
-            "waited_s": round(call.waited_s, DIGITS),
+            "took_s": round(now_s - call.started_s, DURATION_DIGITS),
+            "waited_s": round(call.waited_s, DURATION_DIGITS),
             "sends": call.sends,
             "runs": call.runs,
             "target": call.target or "",
--- a/packages/ochreway-direct/src/ochreway_direct/relay/ending.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/ending.py
@@ -21,8 +21,8 @@
     reason: Reason
     response: web.StreamResponse | None = None
     failed: bool = True
-    broke: bool = False
-    cut: bool = False
+    lost_contact: bool = False
+    disconnected: bool = False
 
     @classmethod
     def answered(cls, response: web.StreamResponse, failed: bool = False) -> "Ending":
--- a/packages/ochreway-direct/src/ochreway_direct/relay/eventsplitter.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/eventsplitter.py
@@ -3,36 +3,36 @@
 
 import re
 
-_END = re.compile(rb"\r?\n\r?\n")
-_ID = re.compile(rb"^id: ?(.*?)\r?$", re.MULTILINE)
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
+_EVENT_ID = re.compile(rb"^id: ?(.*?)\r?$", re.MULTILINE)
 
 
 class EventSplitter:
     """Hold back an event that is not whole, and remember the last whole one's id."""
 
     def __init__(self) -> None:
-        self._held = b""
+        self._incomplete = b""
         self.last_id: str | None = None
 
     def feed(self, piece: bytes) -> bytes:
         """Return the whole events that a piece completes."""
-        content = self._held + piece if self._held else piece
+        content = self._incomplete + piece if self._incomplete else piece
         end = 0
-        for match in _END.finditer(content):
+        for match in _EVENT_END.finditer(content):
             end = match.end()
-        whole, self._held = content[:end], content[end:]
-        if whole:
-            self._note_id(whole)
-        return whole
+        events, self._incomplete = content[:end], content[end:]
+        if events:
+            self._record_last_id(events)
+        return events
 
-    def _note_id(self, whole: bytes) -> None:
-        found = _ID.findall(whole)
-        if found:
-            self.last_id = found[-1].decode("latin-1")
+    def _record_last_id(self, events: bytes) -> None:
+        ids = _EVENT_ID.findall(events)
+        if ids:
+            self.last_id = ids[-1].decode("latin-1")
 
-    def rest(self) -> bytes:
+    def incomplete(self) -> bytes:
         """Return what is held back."""
-        return self._held
+        return self._incomplete
 
 
 __all__ = ["EventSplitter"]
--- a/packages/ochreway-direct/src/ochreway_direct/relay/exchange.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/exchange.py
@@ -23,13 +23,13 @@
 from ochreway_direct.relay.tuning import RelayTuning
 from ochreway_direct.serving import Serving
 
-SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
-CONNECT_FAULTS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-HEAD_BYTES = 500
+SUPPRESSED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+HEADERS_OVERHEAD_BYTES = 500
 """About what the headers of a request or of an answer take."""
-EVENT_BYTES = 60
+EVENT_OVERHEAD_BYTES = 60
 """About what the chunk and the packet of an event take beside it."""
-BREAKS = (aiohttp.ClientError, OSError, ValueError)
+CONNECTION_ERRORS = (aiohttp.ClientError, OSError, ValueError)
 
 
 class Exchange:
@@ -43,16 +43,16 @@
         self,
         serving: Serving,
         dialect: CallerDialect,
-        kept: aiohttp.ClientSession,
-        single: aiohttp.ClientSession,
+        pooled: aiohttp.ClientSession,
+        single_use: aiohttp.ClientSession,
         tuning: RelayTuning,
         notices: NoticeWatch,
     ) -> None:
         self._serving = serving
         self._fleet = serving.fleet
         self._dialect = dialect
-        self._kept = kept
-        self._single = single
+        self._pooled_session = pooled
+        self._single_use_session = single_use
         self._tuning = tuning
         self._notices = notices
 
@@ -64,28 +64,32 @@
         """
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout_at(self._first_bound_s(call, loop.time())) as bound:
-                attempt.bind(bound)
-                return await self._exchange(call, attempt)
+            async with asyncio.timeout_at(
+                self._first_answer_deadline_s(call, loop.time())
+            ) as bound:
+                attempt.set_timeout(bound)
+                return await self._send_and_forward(call, attempt)
         except TimeoutError:
             if attempt.lost:
                 return Ending(Outcome.UNKNOWN, Reason.GROUP_INCOMPLETE)
             late = call.left_s(loop.time()) <= 0
             reason = Reason.DEADLINE_PASSED if late else Reason.TARGET_FAILED
-            return Ending(Outcome.UNKNOWN, reason, broke=True)
+            return Ending(Outcome.UNKNOWN, reason, lost_contact=True)
         except SendWithheld:
             return Ending(Outcome.NOT_RUN, Reason.BACKOFF, failed=False)
-        except CONNECT_FAULTS:
-            return Ending(Outcome.NOT_RUN, Reason.LINK_LOST, broke=True)
-        except BREAKS:
-            return Ending(Outcome.UNKNOWN, Reason.TARGET_FAILED, broke=True, cut=True)
+        except CONNECT_ERRORS:
+            return Ending(Outcome.NOT_RUN, Reason.LINK_LOST, lost_contact=True)
+        except CONNECTION_ERRORS:
+            return Ending(
+                Outcome.UNKNOWN, Reason.TARGET_FAILED, lost_contact=True, disconnected=True
+            )
 
-    def _first_bound_s(self, call: Call, now_s: float) -> float:
+    def _first_answer_deadline_s(self, call: Call, now_s: float) -> float:
         """Return until when a first answer is waited for: less when another place may give one."""
         route, tuning = call.route, self._tuning
-        if not call.last_run and self._alternative(call):
+        if not call.last_run and self._has_alternative(call):
             patience_s = tuning.first_answer_objectives * route.objective_s
-            return min(call.end_s, now_s + max(tuning.first_answer_least_s, patience_s))
+            return min(call.end_s, now_s + max(tuning.min_first_answer_s, patience_s))
         if route.kind is not RouteKind.STREAM:
             return call.end_s
         silence_s = max(
@@ -95,43 +99,45 @@
         )
         return min(call.end_s, call.silent_since_s + silence_s)
 
-    def _alternative(self, call: Call) -> bool:
+    def _has_alternative(self, call: Call) -> bool:
         if self._fleet.has_engines(call.service):
             now_s = asyncio.get_running_loop().time()
-            taking = self._fleet.taking(call.service, call.terms.model, call.within, now_s)
-            return taking > 1
+            available = self._fleet.taking(
+                call.service, call.terms.model, call.allowed_halls, now_s
+            )
+            return available > 1
         return True
 
-    async def _exchange(self, call: Call, attempt: Attempt) -> Ending:
+    async def _send_and_forward(self, call: Call, attempt: Attempt) -> Ending:
         async with self._request(call, attempt) as response:
             head = self._dialect.answer_head(response.status, response.headers)
             attempt.status, attempt.notice = response.status, head.notice
-            self._note(call, attempt, head)
+            self._record_notice(call, attempt, head)
             if head.not_run:
                 await self._finish_body(response)
-                return self._turned_away(head)
-            fault = self._fault(call, response, head)
-            if fault is not None:
+                return self._rejection(head)
+            mismatch = self._mismatch(call, response, head)
+            if mismatch is not None:
                 response.close()
-                return fault
+                return mismatch
             if call.route.kind is RouteKind.STREAM and response.status == 200:
-                return await self._stream(call, attempt, response)
-            return await self._whole(call, response)
+                return await self._forward_stream(call, attempt, response)
+            return await self._forward_body(call, response)
 
-    def _note(self, call: Call, attempt: Attempt, head: AnswerHead) -> None:
+    def _record_notice(self, call: Call, attempt: Attempt, head: AnswerHead) -> None:
         """Take what an answer says of its target, if it is this request's and that target's."""
         if head.own and head.request == call.terms.request:
             self._notices.answered(attempt.instance, head.notice, attempt.born_ms)
         else:
             self._notices.heard(attempt.instance, head.notice, attempt.born_ms)
 
-    def _turned_away(self, head: AnswerHead) -> Ending:
+    def _rejection(self, head: AnswerHead) -> Ending:
         """Return the ending of a request that was not run; one that names a time did not fail."""
         if head.notice.backoff_s is not None:
             return Ending(Outcome.NOT_RUN, Reason.BACKOFF, failed=False)
         return Ending(Outcome.NOT_RUN, Reason.QUEUE_FULL)
 
-    def _fault(
+    def _mismatch(
         self, call: Call, response: aiohttp.ClientResponse, head: AnswerHead
     ) -> Ending | None:
         """Return the ending of an answer that cannot be this request's own."""
@@ -151,14 +157,14 @@
             priority=call.priority,
             resume_after=call.resume_after,
         )
-        self._serving.sent_bytes += len(call.body) + HEAD_BYTES
-        session = self._kept if call.route.repeatable else self._single
+        self._serving.sent_bytes += len(call.body) + HEADERS_OVERHEAD_BYTES
+        session = self._pooled_session if call.route.repeatable else self._single_use_session
         with send_guard(lambda: self._notices.wait_s(attempt.instance, attempt.born_ms) <= 0.0):
             response = await session.request(
                 call.request.method,
                 URL(f"http://{attempt.address}{call.request.raw_path}", encoded=True),
                 headers=self._dialect.forward(call.request.headers, terms),
-                skip_auto_headers=SKIPPED_HEADERS,
+                skip_auto_headers=SUPPRESSED_HEADERS,
                 data=call.body or None,
                 allow_redirects=False,
                 trace_request_ctx=attempt,
@@ -167,71 +173,75 @@
             yield response
 
     async def _finish_body(self, response: aiohttp.ClientResponse) -> None:
-        with contextlib.suppress(*BREAKS):
+        with contextlib.suppress(*CONNECTION_ERRORS):
             await response.read()
 
-    async def _whole(self, call: Call, response: aiohttp.ClientResponse) -> Ending:
+    async def _forward_body(self, call: Call, response: aiohttp.ClientResponse) -> Ending:
         body = await response.read()
         if call.answer is not None:
             return Ending(Outcome.UNKNOWN, Reason.TARGET_FAILED)
-        again = call.runs + 1 < call.route.attempts_at_most and call.route.repeatable
-        if response.status >= 500 and again:
+        may_retry = call.runs + 1 < call.route.attempts_at_most and call.route.repeatable
+        if response.status >= 500 and may_retry:
             return Ending(Outcome.UNKNOWN, Reason.TARGET_FAILED)
         answer = web.Response(
             status=response.status, headers=self._dialect.answer(response.headers), body=body
         )
-        self._serving.sent_bytes += len(body) + HEAD_BYTES
-        self._end_connection(answer)
+        self._serving.sent_bytes += len(body) + HEADERS_OVERHEAD_BYTES
+        self._close_if_stopping(answer)
         return Ending.answered(answer, failed=response.status >= 500)
 
-    def _end_connection(self, answer: web.StreamResponse) -> None:
+    def _close_if_stopping(self, answer: web.StreamResponse) -> None:
         if self._serving.stopping:
             answer.force_close()
 
-    async def _stream(
+    async def _forward_stream(
         self, call: Call, attempt: Attempt, response: aiohttp.ClientResponse
     ) -> Ending:
         loop = asyncio.get_running_loop()
         splitter = EventSplitter()
-        pause_s = max(self._tuning.stall_least_s, self._tuning.stall_pauses * call.route.pause_s)
+        pause_s = max(self._tuning.min_stall_s, self._tuning.stall_pauses * call.route.pause_s)
         async for piece in response.content.iter_any():
-            whole = splitter.feed(piece)
+            events = splitter.feed(piece)
             now_s = loop.time()
             self._fleet.heard(attempt, now_s)
             attempt.extend(min(call.end_s, now_s + pause_s))
-            if whole:
+            if events:
                 # Noted first: a write that is cancelled may have been passed on all the same.
                 call.resume_after = splitter.last_id or call.resume_after
-                await self._pass_on(call, response, whole)
-                call.passed_on_s = now_s
-        if splitter.rest():
-            return Ending(Outcome.UNKNOWN, Reason.ANSWER_SHORT, cut=True)
+                await self._forward_events(call, response, events)
+                call.last_forwarded_s = now_s
+        if splitter.incomplete():
+            return Ending(Outcome.UNKNOWN, Reason.ANSWER_SHORT, disconnected=True)
         try:
-            answer = await self._begin(call, response)
+            answer = await self._start_answer(call, response)
             await answer.write_eof()
-        except OSError as fault:
-            raise CallerGone from fault
+        except OSError as error:
+            raise CallerGone from error
         return Ending.answered(answer)
 
-    async def _begin(self, call: Call, response: aiohttp.ClientResponse) -> web.StreamResponse:
+    async def _start_answer(
+        self, call: Call, response: aiohttp.ClientResponse
+    ) -> web.StreamResponse:
         if call.answer is None:
             answer = web.StreamResponse(
                 status=response.status, headers=self._dialect.answer(response.headers)
             )
             answer.enable_chunked_encoding()
-            self._end_connection(answer)
+            self._close_if_stopping(answer)
             call.answer = answer
             call.first_part_s = asyncio.get_running_loop().time()
             await answer.prepare(call.request)
         return call.answer
 
-    async def _pass_on(self, call: Call, response: aiohttp.ClientResponse, whole: bytes) -> None:
+    async def _forward_events(
+        self, call: Call, response: aiohttp.ClientResponse, events: bytes
+    ) -> None:
         try:
-            answer = await self._begin(call, response)
-            self._serving.sent_bytes += len(whole) + EVENT_BYTES
-            await answer.write(whole)
-        except OSError as fault:
-            raise CallerGone from fault
+            answer = await self._start_answer(call, response)
+            self._serving.sent_bytes += len(events) + EVENT_OVERHEAD_BYTES
+            await answer.write(events)
+        except OSError as error:
+            raise CallerGone from error
 
 
-__all__ = ["HEAD_BYTES", "Exchange"]
+__all__ = ["HEADERS_OVERHEAD_BYTES", "Exchange"]
--- a/packages/ochreway-direct/src/ochreway_direct/relay/restingbounds.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/idlelimits.py
@@ -5,19 +5,19 @@
 
 
 @dataclass(slots=True)
-class RestingBounds:
+class IdleLimits:
     """Bound resting connections, in all and at one target; ``None``: any number."""
 
-    in_all: int | None = None
-    at_one: int | None = None
+    max_total: int | None = None
+    max_per_target: int | None = None
 
-    def allow(self, in_all: int, at_one: int) -> bool:
+    def allow(self, total: int, per_target: int) -> bool:
         """Tell whether one more may rest beside those that do."""
-        return _below(in_all, self.in_all) and _below(at_one, self.at_one)
+        return _below(total, self.max_total) and _below(per_target, self.max_per_target)
 
 
 def _below(number: int, bound: int | None) -> bool:
     return bound is None or number < bound
 
 
-__all__ = ["RestingBounds"]
+__all__ = ["IdleLimits"]
--- a/packages/ochreway-direct/src/ochreway_direct/relay/restingtime.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/keepalive.py
@@ -3,9 +3,9 @@
 
 import re
 
-DEFAULT_S = 3.0
+DEFAULT_KEEP_ALIVE_S = 3.0
 """For a target that does not say how long it keeps idle connections."""
-AT_MOST_S = 15.0
+MAX_KEEP_ALIVE_S = 15.0
 """No longer, whatever a target says: one that lost its power meanwhile answers nothing."""
 TRUSTED_SHARE = 0.8
 """The share of the announced time; the rest is for the way of a request, and for clocks."""
@@ -13,12 +13,12 @@
 _TIMEOUT = re.compile(r"(?:^|[,;\s])timeout\s*=\s*(\d{1,6})(?:$|[,;\s])", re.IGNORECASE)
 
 
-def resting_time_s(keep_alive: str | None) -> float:
+def keep_alive_s(keep_alive: str | None) -> float:
     """Return for how long a connection may rest after an answer with this ``Keep-Alive``."""
-    found = _TIMEOUT.search(keep_alive) if keep_alive else None
-    if found is None:
-        return DEFAULT_S
-    return min(AT_MOST_S, TRUSTED_SHARE * int(found[1]))
+    match = _TIMEOUT.search(keep_alive) if keep_alive else None
+    if match is None:
+        return DEFAULT_KEEP_ALIVE_S
+    return min(MAX_KEEP_ALIVE_S, TRUSTED_SHARE * int(match[1]))
 
 
-__all__ = ["AT_MOST_S", "DEFAULT_S", "resting_time_s"]
+__all__ = ["DEFAULT_KEEP_ALIVE_S", "MAX_KEEP_ALIVE_S", "keep_alive_s"]
--- a/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
@@ -20,7 +20,7 @@
 from ochreway_direct.relay.calllog import CallLog
 from ochreway_direct.relay.ending import Ending
 from ochreway_direct.relay.errors import AnswerBroken, CallerGone, Refused
-from ochreway_direct.relay.exchange import HEAD_BYTES, Exchange
+from ochreway_direct.relay.exchange import HEADERS_OVERHEAD_BYTES, Exchange
 from ochreway_direct.relay.refusal import NOT_RUN_STATUS, refusal_of
 from ochreway_direct.relay.tuning import RelayTuning
 from ochreway_direct.serving import Serving
@@ -36,8 +36,8 @@
         self,
         serving: Serving,
         dialect: CallerDialect,
-        kept: aiohttp.ClientSession,
-        single: aiohttp.ClientSession,
+        pooled: aiohttp.ClientSession,
+        single_use: aiohttp.ClientSession,
         meter: DemandMeter,
         tuning: RelayTuning,
         budget: RetryBudget,
@@ -52,20 +52,20 @@
         self._fleet = serving.fleet
         self._dialect = dialect
         self._admission = Admission(serving, meter, tuning)
-        self._exchange = Exchange(serving, dialect, kept, single, tuning, notices)
+        self._exchange = Exchange(serving, dialect, pooled, single_use, tuning, notices)
         self._tuning = tuning
-        self._calls = CallLog(log, serving)
+        self._call_log = CallLog(log, serving)
         self._metrics = metrics
         self._budget = budget
         self._suspect = suspect
         self._crashes = crashes
         self.open_calls = 0
-        self.taken_calls = 0
+        self.accepted_calls = 0
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one request."""
         self.open_calls += 1
-        self.taken_calls += 1
+        self.accepted_calls += 1
         try:
             return await self._answer(request)
         finally:
@@ -80,15 +80,15 @@
             self._budget.requested()
             self._serving.asked += 1
             answer = await self._run(call)
-            self._calls.answered(call, answer.status)
+            self._call_log.answered(call, answer.status)
             return answer
         except Refused as refused:
             self._metrics.count(f"refused.{refused.reason.value}")
-            self._calls.refused(terms.request, call, refused)
+            self._call_log.refused(terms.request, call, refused)
             return self._refusal(terms, refused)
         except AnswerBroken as broken:
             self._metrics.count(f"broken.{broken.reason.value}")
-            self._calls.broken(call, terms.request, broken)
+            self._call_log.broken(call, terms.request, broken)
             if request.transport is not None:
                 request.transport.abort()
             raise asyncio.CancelledError from broken
@@ -103,7 +103,7 @@
         )
         if self._serving.stopping or refused.reason is Reason.CONNECTIONS_FULL:
             answer.force_close()
-        self._serving.sent_bytes += HEAD_BYTES
+        self._serving.sent_bytes += HEADERS_OVERHEAD_BYTES
         return answer
 
     def _give_up(self, call: Call, reason: Reason, after_s: float) -> Refused | AnswerBroken:
@@ -115,22 +115,22 @@
     async def _run(self, call: Call) -> web.StreamResponse:
         """Send a call until it is answered or may not be sent again."""
         while True:
-            attempt = await self._place(call)
+            attempt = await self._choose_candidate(call)
             begun_s = asyncio.get_running_loop().time()
             ending = await self._send(call, attempt)
             if ending.response is not None:
                 self._crashes.finished(call)
                 return ending.response
-            self._calls.attempt_failed(call, attempt, ending, begun_s)
+            self._call_log.attempt_failed(call, attempt, ending, begun_s)
             self._metrics.count(f"attempt.{ending.reason.value}")
             if ending.outcome is not Outcome.NOT_RUN:
                 call.runs += 1
-            if ending.broke and attempt.group is not None:
+            if ending.lost_contact and attempt.group is not None:
                 self._suspect(attempt.group)
             call.tried.add(attempt.instance)
-            if ending.cut:
+            if ending.disconnected:
                 await self._crashes.broke_off(call, attempt)
-            await self._check_again(call, ending)
+            await self._check_retry(call, ending)
             self._metrics.count(f"retry.{ending.reason.value}")
 
     def _check_fatal(self, call: Call) -> None:
@@ -146,7 +146,7 @@
             raise refusal_of(call, Reason.ENDS_TARGETS, left_s)
         raise Refused(NOT_RUN_STATUS, Reason.ENDS_TARGETS, left_s)
 
-    async def _check_again(self, call: Call, ending: Ending) -> None:
+    async def _check_retry(self, call: Call, ending: Ending) -> None:
         """Raise unless the call may be sent once more."""
         now_s = asyncio.get_running_loop().time()
         left_s = call.left_s(now_s)
@@ -154,83 +154,83 @@
         allowed = (
             (call.route.repeatable or not ran)
             and call.runs < call.route.attempts_at_most
-            and call.sends < call.route.attempts_at_most + self._tuning.sends_more
-            and left_s > self._tuning.least_left_s
+            and call.sends < call.route.attempts_at_most + self._tuning.max_extra_sends
+            and left_s > self._tuning.min_time_left_s
         )
         if allowed and self._budget.spend():
             return
         reason = Reason.DEADLINE_PASSED if left_s <= 0 else ending.reason
-        asked_s = self._asked_s(call, now_s)
-        if asked_s > self._tuning.retry_after_s:
-            raise refusal_of(call, reason, asked_s)
+        requested_wait_s = self._requested_wait_s(call, now_s)
+        if requested_wait_s > self._tuning.retry_after_s:
+            raise refusal_of(call, reason, requested_wait_s)
         raise self._give_up(call, reason, self._tuning.retry_after_s)
 
-    async def _place(self, call: Call) -> Attempt:
+    async def _choose_candidate(self, call: Call) -> Attempt:
         """Choose where to send a call, waiting a little while nothing can take it."""
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
-        until_s = min(begun_s + self._patience_s(call), call.end_s)
+        until_s = min(begun_s + self._max_wait_s(call), call.end_s)
         while True:
             # One time for all of a look: a place that is free a moment later would else be taken
             # for one that is full.
             now_s = loop.time()
-            found = self._pick(call, now_s)
-            if found is not None:
+            chosen = self._pick_candidate(call, now_s)
+            if chosen is not None:
                 call.waited_s += now_s - begun_s
-                return found
+                return chosen
             if not call.begun and self._all_closed(call):
-                raise self._give_up(call, Reason.HALL_DRAINED, self._tuning.regroup_after_s)
-            if now_s + self._asked_s(call, now_s) >= until_s:
+                raise self._give_up(call, Reason.HALL_DRAINED, self._tuning.retry_after_regroup_s)
+            if now_s + self._requested_wait_s(call, now_s) >= until_s:
                 call.waited_s += now_s - begun_s
-                raise self._without_place(call, now_s)
-            await asyncio.sleep(self._tuning.place_poll_s)
+                raise self._no_candidate_error(call, now_s)
+            await asyncio.sleep(self._tuning.candidate_poll_interval_s)
 
-    def _without_place(self, call: Call, now_s: float) -> Refused | AnswerBroken:
+    def _no_candidate_error(self, call: Call, now_s: float) -> Refused | AnswerBroken:
         """Return how to end a call that found no place, by what would have to change."""
-        model, after_s = call.terms.model, self._tuning.regroup_after_s
-        asked_s = self._asked_s(call, now_s)
-        if asked_s > 0.0:
+        model, after_s = call.terms.model, self._tuning.retry_after_regroup_s
+        requested_wait_s = self._requested_wait_s(call, now_s)
+        if requested_wait_s > 0.0:
             # The whole time: told less, a caller would come back to be refused once more.
-            return refusal_of(call, self._asked_for(call, now_s), asked_s)
-        wait_s = self._fleet.send_wait_s(call.service, model, call.within, now_s)
+            return refusal_of(call, self._wait_reason(call, now_s), requested_wait_s)
+        wait_s = self._fleet.send_wait_s(call.service, model, call.allowed_halls, now_s)
         if wait_s > 0.0:
             return self._give_up(call, Reason.SEND_LIMIT, min(wait_s, after_s))
-        full = self._fleet.has_group(call.service, model, call.within)
+        full = self._fleet.has_group(call.service, model, call.allowed_halls)
         return self._give_up(call, Reason.QUEUE_FULL if full else Reason.NO_GROUP, after_s)
 
-    def _asked_s(self, call: Call, now_s: float) -> float:
+    def _requested_wait_s(self, call: Call, now_s: float) -> float:
         """Return how soon the first place takes requests again; 0 if one does, or there is none."""
-        return self._fleet.asked_wait_s(call.service, call.terms.model, call.within, now_s)
+        return self._fleet.asked_wait_s(call.service, call.terms.model, call.allowed_halls, now_s)
 
-    def _asked_for(self, call: Call, now_s: float) -> Reason:
+    def _wait_reason(self, call: Call, now_s: float) -> Reason:
         """Return what places asked for that take no request now."""
         service, model = call.service, call.terms.model
-        alone = self._fleet.all_backed_off(service, model, call.within, now_s)
-        return Reason.BACKOFF if alone else Reason.TARGET_LIMIT
+        all_backed_off_now = self._fleet.all_backed_off(service, model, call.allowed_halls, now_s)
+        return Reason.BACKOFF if all_backed_off_now else Reason.TARGET_LIMIT
 
     def _all_closed(self, call: Call) -> bool:
-        return self._fleet.all_closed(call.service, call.terms.model, call.within)
+        return self._fleet.all_closed(call.service, call.terms.model, call.allowed_halls)
 
-    def _patience_s(self, call: Call) -> float:
+    def _max_wait_s(self, call: Call) -> float:
         if call.begun:
-            return self._tuning.resume_patience_s
-        return call.route.objective_s * self._tuning.patience_share
+            return self._tuning.resume_max_wait_s
+        return call.route.objective_s * self._tuning.max_wait_share
 
-    def _queued_at_most(self, call: Call) -> int:
+    def _max_queued(self, call: Call) -> int:
         tuning = self._tuning
         begun = call.answer is not None
-        return tuning.resuming_queued_at_most if begun else tuning.queued_at_most
+        return tuning.max_queued_resuming if begun else tuning.max_queued
 
-    def _pick(self, call: Call, now_s: float) -> Attempt | None:
+    def _pick_candidate(self, call: Call, now_s: float) -> Attempt | None:
         if call.engine is not None:
             group = self._fleet.pick_group(
                 call.service,
                 call.terms.model,
                 call.tried,
                 call.engine,
-                self._queued_at_most(call),
+                self._max_queued(call),
                 call.terms.prompt_tokens,
-                call.within,
+                call.allowed_halls,
                 now_s,
             )
             if group is None:
@@ -239,33 +239,33 @@
                 *(group.leader, group.address, group.hall, group.group),
                 prompt_tokens=call.terms.prompt_tokens,
                 begun_s=now_s,
-                last=call.last_run,
+                is_last=call.last_run,
                 group=group.group,
                 epoch=group.epoch,
                 pace=group.pace,
                 load=self._fleet.load(group.group),
                 born_ms=group.born_ms,
             )
-        target = self._fleet.pick_target(call.service, call.tried, call.within, now_s)
+        target = self._fleet.pick_target(call.service, call.tried, call.allowed_halls, now_s)
         if target is None and call.tried and not self._fleet.has_engines(call.service):
-            target = self._fleet.pick_target(call.service, (), call.within, now_s)
+            target = self._fleet.pick_target(call.service, (), call.allowed_halls, now_s)
         if target is None:
             return None
-        place = target.instance
+        candidate = target.instance
         return Attempt(
-            *(target.instance, target.address, target.hall, place),
+            *(target.instance, target.address, target.hall, candidate),
             begun_s=now_s,
             born_ms=target.born_ms,
         )
 
-    async def _key_holds(self) -> bool:
+    async def _key_still_valid(self) -> bool:
         """Tell whether the key that a call was admitted by may still be trusted."""
         version = self._serving.version
         return await self._serving.keys_proved() and self._serving.version == version
 
     async def _send(self, call: Call, attempt: Attempt) -> Ending:
-        if call.organisation is not None and not await self._key_holds():
-            raise self._give_up(call, Reason.STALE_VERSION, self._tuning.regroup_after_s)
+        if call.organisation is not None and not await self._key_still_valid():
+            raise self._give_up(call, Reason.STALE_VERSION, self._tuning.retry_after_regroup_s)
         self._check_fatal(call)
         call.sends += 1
         call.target = attempt.instance
--- a/packages/ochreway-direct/src/ochreway_direct/relay/sendtrace.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/sendtrace.py
@@ -8,21 +8,23 @@
 
 from ochreway_direct.relay.attempt import Attempt
 
-Written = aiohttp.TraceRequestHeadersSentParams | aiohttp.TraceRequestChunkSentParams
+SentParams = aiohttp.TraceRequestHeadersSentParams | aiohttp.TraceRequestChunkSentParams
 
 
 def send_trace() -> aiohttp.TraceConfig:
     """Return a trace for sessions whose requests carry their attempt as context."""
     trace = aiohttp.TraceConfig()
-    trace.on_request_headers_sent.append(_note)
-    trace.on_request_chunk_sent.append(_note)
+    trace.on_request_headers_sent.append(_record_written)
+    trace.on_request_chunk_sent.append(_record_written)
     return trace
 
 
-async def _note(_: aiohttp.ClientSession, context: SimpleNamespace, __: Written) -> None:
+async def _record_written(
+    _: aiohttp.ClientSession, context: SimpleNamespace, __: SentParams
+) -> None:
     attempt = context.trace_request_ctx
     if isinstance(attempt, Attempt):
-        attempt.written(asyncio.get_running_loop().time())
+        attempt.record_written(asyncio.get_running_loop().time())
 
 
 __all__ = ["send_trace"]
--- a/packages/ochreway-direct/src/ochreway_direct/relay/targetconnections.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/targetconnections.py
@@ -7,8 +7,8 @@
 from ochreway_direct.relay.targetprotocol import TargetConnector
 from ochreway_runtime.metrics import Metrics
 
-NEW = ("connections.target", "connections.single")
-DIGITS = 3
+OPENED_COUNTERS = ("connections.target", "connections.single")
+RATIO_DIGITS = 3
 
 
 class TargetConnections:
@@ -23,12 +23,12 @@
 
     def gauges(self) -> dict[str, float]:
         """Return the figures for an operator's page."""
-        opened = sum(self._metrics.counters.get(name, 0) for name in NEW)
+        opened = sum(self._metrics.counters.get(name, 0) for name in OPENED_COUNTERS)
         return {
-            "target_connections": float(sum(each.open for each in self._connectors)),
-            "target_connections_resting": float(sum(each.resting for each in self._connectors)),
+            "target_connections": float(sum(connector.open for connector in self._connectors)),
+            "target_connections_resting": float(sum(each.idle for each in self._connectors)),
             "target_connections_per_request": round(
-                opened / max(1, self._relay.taken_calls), DIGITS
+                opened / max(1, self._relay.accepted_calls), RATIO_DIGITS
             ),
         }
 
--- a/packages/ochreway-direct/src/ochreway_direct/relay/targetprotocol.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/targetprotocol.py
@@ -14,32 +14,32 @@
 from aiohttp.streams import StreamReader
 from aiohttp.tracing import Trace
 
-from ochreway_direct.relay.restingbounds import RestingBounds
-from ochreway_direct.relay.restingtime import AT_MOST_S, DEFAULT_S, resting_time_s
+from ochreway_direct.relay.idlelimits import IdleLimits
+from ochreway_direct.relay.keepalive import DEFAULT_KEEP_ALIVE_S, MAX_KEEP_ALIVE_S, keep_alive_s
 from ochreway_runtime import steadyclock
 
-UNANSWERED_MS = 2000
+UNACKNOWLEDGED_TIMEOUT_MS = 2000
 """After how long without an acknowledgement the kernel gives a connection to a target up."""
 
 
 class TargetProtocol(ResponseHandler):
     """Fail an answer without a length that ends in a reset; it may not be whole."""
 
-    _rests_s = DEFAULT_S
-    _rests_until_s = 0.0
+    _keep_alive_s = DEFAULT_KEEP_ALIVE_S
+    _reusable_until_s = 0.0
 
     def feed_data(self, data: tuple[RawResponseMessage, StreamReader], size: int = 0) -> None:
         """Take the head of an answer; it may say how long the connection may rest after it."""
-        self._rests_s = resting_time_s(data[0].headers.get("Keep-Alive"))
+        self._keep_alive_s = keep_alive_s(data[0].headers.get("Keep-Alive"))
         super().feed_data(data, size)
 
-    def rest(self, now_s: float) -> None:
+    def start_idle(self, now_s: float) -> None:
         """Begin to rest."""
-        self._rests_until_s = now_s + self._rests_s
+        self._reusable_until_s = now_s + self._keep_alive_s
 
-    def usable(self, now_s: float) -> bool:
+    def is_reusable(self, now_s: float) -> bool:
         """Tell whether a resting connection may take a request."""
-        return not self.should_close and now_s <= self._rests_until_s
+        return not self.should_close and now_s <= self._reusable_until_s
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Break the answer under way before the parser can take the end for its own."""
@@ -54,68 +54,70 @@
 
     def __init__(
         self,
-        opened: Callable[[], None] = lambda: None,
-        resting: RestingBounds | None = None,
-        keeps: bool = True,
+        on_opened: Callable[[], None] = lambda: None,
+        idle_limits: IdleLimits | None = None,
+        keep_alive: bool = True,
     ) -> None:
         """Keep idle connections within bounds, or none at all; ``opened`` is told of new ones."""
-        keeping = {"keepalive_timeout": AT_MOST_S} if keeps else {"force_close": True}
-        more: dict[str, Any] = keeping
+        reuse_options = (
+            {"keepalive_timeout": MAX_KEEP_ALIVE_S} if keep_alive else {"force_close": True}
+        )
+        options: dict[str, Any] = reuse_options
         super().__init__(
             limit=0,
-            **more,
+            **options,
             use_dns_cache=False,
             happy_eyeballs_delay=None,
             socket_factory=self._new_socket,
         )
         factory: Any = functools.partial(TargetProtocol, loop=self._loop)
         self._factory = factory
-        self._opened = opened
-        self._resting = resting or RestingBounds()
+        self._on_opened = on_opened
+        self._idle_limits = idle_limits or IdleLimits()
 
     @property
-    def resting(self) -> int:
+    def idle(self) -> int:
         """Return how many connections rest."""
-        return sum(len(each) for each in self._conns.values())
+        return sum(len(pairs) for pairs in self._conns.values())
 
     @property
     def open(self) -> int:
         """Return how many connections are open."""
-        return len(self._acquired) + self.resting
+        return len(self._acquired) + self.idle
 
     async def _get(self, key: ConnectionKey, traces: list[Trace]) -> Connection | None:
         while True:
-            found = await super()._get(key, traces)
-            if found is None or found.protocol is None or _usable(found.protocol):
-                return found
-            found.close()
+            connection = await super()._get(key, traces)
+            if connection is None or connection.protocol is None or _usable(connection.protocol):
+                return connection
+            connection.close()
 
     def _release(
         self, key: ConnectionKey, protocol: ResponseHandler, *, should_close: bool = False
     ) -> None:
         if isinstance(protocol, TargetProtocol):
-            protocol.rest(steadyclock.now_s())
-        if not self._may_rest(key):
-            self._drop_unusable()
-        surplus = not self._may_rest(key)
+            protocol.start_idle(steadyclock.now_s())
+        if not self._may_keep_idle(key):
+            self._close_unusable()
+        surplus = not self._may_keep_idle(key)
         super()._release(key, protocol, should_close=should_close or surplus)
 
-    def _may_rest(self, key: ConnectionKey) -> bool:
-        return self._resting.allow(self.resting, len(self._conns.get(key, ())))
+    def _may_keep_idle(self, key: ConnectionKey) -> bool:
+        return self._idle_limits.allow(self.idle, len(self._conns.get(key, ())))
 
-    def _drop_unusable(self) -> None:
+    def _close_unusable(self) -> None:
         """Close connections that rested too long; the library does so each 15 s only."""
         now_s = steadyclock.now_s()
-        for key, resting in list(self._conns.items()):
-            for pair in [each for each in resting if not _usable_at(each[0], now_s)]:
-                resting.remove(pair)
+        for key, idle in list(self._conns.items()):
+            for pair in [each for each in idle if not _usable_at(each[0], now_s)]:
+                idle.remove(pair)
                 if pair[0].transport is not None:
                     pair[0].transport.close()
-            if not resting:
+            if not idle:
                 del self._conns[key]
 
     def _new_socket(self, info: aiohttp.AddrInfoType) -> socket.socket:
-        self._opened()
+        self._on_opened()
         return _target_socket(info)
 
 
@@ -125,16 +127,18 @@
 
 def _usable_at(protocol: ResponseHandler, now_s: float) -> bool:
     return (
-        isinstance(protocol, TargetProtocol) and protocol.is_connected() and protocol.usable(now_s)
+        isinstance(protocol, TargetProtocol)
+        and protocol.is_connected()
+        and protocol.is_reusable(now_s)
     )
 
 
 def _target_socket(info: aiohttp.AddrInfoType) -> socket.socket:
     family, kind, protocol, _, _ = info
-    made = socket.socket(family, kind, protocol)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNANSWERED_MS)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return made
+    new_socket = socket.socket(family, kind, protocol)
+    new_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
+    new_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return new_socket
 
 
 __all__ = ["TargetConnector", "TargetProtocol"]
--- a/packages/ochreway-direct/src/ochreway_direct/relay/targetsession.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/targetsession.py
@@ -8,9 +8,9 @@
 from ochreway_direct.relay.sendtrace import send_trace
 from ochreway_direct.relay.targetprotocol import TargetConnector
 
-HEADER_BYTES = 16 * 1024
+MAX_HEADER_LINE_BYTES = 16 * 1024
 """How long a header line of a target's answer may be."""
-CONNECT_S = 0.6
+CONNECT_TIMEOUT_S = 0.6
 """How long a connection may take: a lost opening packet is sent again after seconds only."""
 
 
@@ -21,9 +21,9 @@
         request_class=GuardedRequest,
         cookie_jar=aiohttp.DummyCookieJar(),
         auto_decompress=False,
-        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S),
-        max_line_size=HEADER_BYTES,
-        max_field_size=HEADER_BYTES,
+        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
+        max_line_size=MAX_HEADER_LINE_BYTES,
+        max_field_size=MAX_HEADER_LINE_BYTES,
         trace_configs=[send_trace()],
         middlewares=(_send_once,),
     )
@@ -41,8 +41,8 @@
         return await send(request)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
         raise
-    except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as fault:
-        raise aiohttp.ClientConnectionError(str(fault)) from fault
+    except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
+        raise aiohttp.ClientConnectionError(str(error)) from error
 
 
 __all__ = ["target_session"]
--- a/packages/ochreway-direct/src/ochreway_direct/relay/tuning.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/tuning.py
@@ -15,25 +15,25 @@
     three ``caller_silence`` bounds.
     """
 
-    sends_more: int = 2
-    least_left_s: float = 0.05
-    place_poll_s: float = 0.01
-    patience_share: float = 0.1
-    queued_at_most: int = 3
-    resuming_queued_at_most: int = 12
-    resume_patience_s: float = 1.0
+    max_extra_sends: int = 2
+    min_time_left_s: float = 0.05
+    candidate_poll_interval_s: float = 0.01
+    max_wait_share: float = 0.1
+    max_queued: int = 3
+    max_queued_resuming: int = 12
+    resume_max_wait_s: float = 1.0
     retry_after_s: float = 0.3
-    elsewhere_after_s: float = 0.05
-    stale_after_s: float = 1.0
-    regroup_after_s: float = 2.2
+    retry_after_elsewhere_s: float = 0.05
+    retry_after_stale_s: float = 1.0
+    retry_after_regroup_s: float = 2.2
     first_answer_objectives: float = 2.5
-    first_answer_least_s: float = 0.8
+    min_first_answer_s: float = 0.8
     caller_silence_s: float = 2.0
     caller_silence_objectives: float = 4.0
     caller_silence_pauses: float = 8.0
     retry_after_share: float = 0.3
     stall_pauses: float = 3.0
-    stall_least_s: float = 0.7
+    min_stall_s: float = 0.7
 
 
 __all__ = ["RelayTuning"]
--- a/packages/ochreway-standins/src/ochreway_standins/choicebench.py
+++ b/packages/ochreway-standins/src/ochreway_standins/choicebench.py
@@ -91,7 +91,7 @@
 
     def send(self, entry: SpreadEntry, attempt: Attempt, asked_s: float) -> None:
         """Run an attempt at its group for a request that came at a time."""
-        group = self.groups[GroupId(attempt.place)]
+        group = self.groups[GroupId(attempt.candidate)]
         begin_s, end_s = group.take(attempt.prompt_tokens, self.world.now_s)
         self.outcome.first_s.append(begin_s - asked_s)
         self.outcome.late += begin_s - asked_s > OBJECTIVE_S
@@ -108,7 +108,7 @@
             _, _, entry, attempt, ends = heappop(self._due)
             if ends:
                 entry.fleet.end(attempt, False)
-                self.groups[GroupId(attempt.place)].running -= 1
+                self.groups[GroupId(attempt.candidate)].running -= 1
             else:
                 entry.fleet.heard(attempt, now_s)
 
--- a/packages/ochreway-standins/src/ochreway_standins/slopes/targetlimits.py
+++ b/packages/ochreway-standins/src/ochreway_standins/slopes/targetlimits.py
@@ -48,7 +48,7 @@
 def attempt_at(number: int) -> Attempt:
     """Return an attempt that has been written."""
     attempt = Attempt(named(number), "10.0.0.1:8104", HallId("h"), "g", begun_s=NOW_S)
-    attempt.written(NOW_S)
+    attempt.record_written(NOW_S)
     return attempt
 
 
--- a/tests/direct/limitworld.py
+++ b/tests/direct/limitworld.py
@@ -85,7 +85,7 @@
         if self.gate.wait_s(TARGET, None, now_s) > 0.0:
             return
         attempt = Attempt(TARGET, "address", HallId("h"), TARGET, begun_s=now_s)
-        attempt.written(now_s)
+        attempt.record_written(now_s)
         self.gate.sent(attempt)
         self._world.arrived(self)
 
--- a/tests/direct/relaycase.py
+++ b/tests/direct/relaycase.py
@@ -32,8 +32,8 @@
 from ochreway_direct.noticewatch import NoticeWatch
 from ochreway_direct.relay.callerconnections import CallerConnections
 from ochreway_direct.relay.callerserver import CallerServer
+from ochreway_direct.relay.idlelimits import IdleLimits
 from ochreway_direct.relay.relay import Relay
-from ochreway_direct.relay.restingbounds import RestingBounds
 from ochreway_direct.relay.targetprotocol import TargetConnector
 from ochreway_direct.relay.targetsession import target_session
 from ochreway_direct.relay.tuning import RelayTuning
@@ -49,34 +49,34 @@
 from tests.direct.plaindialect import PlainDialect
 
 HALL = HallId("h")
-RESET_AT_ONCE = struct.pack("ii", 1, 0)
-PLAIN = ServiceName("roster")
+LINGER_RESET = struct.pack("ii", 1, 0)
+PLAIN_SERVICE = ServiceName("roster")
 Headers = dict[str, str]
 Script = Callable[[Headers, asyncio.StreamWriter], Awaitable[None]]
 
 
-def head(headers: Headers, more: str = "", status: str = "200 OK") -> bytes:
+def response_head(headers: Headers, more: str = "", status: str = "200 OK") -> bytes:
     lines = f"HTTP/1.1 {status}\r\nRequest: {headers['request']}\r\n{more}\r\n"
     return lines.encode()
 
 
-def whole(headers: Headers, body: str, status: str = "200 OK", more: str = "") -> bytes:
+def complete_response(headers: Headers, body: str, status: str = "200 OK", more: str = "") -> bytes:
     signed = f"Signed: 1\r\nContent-Length: {len(body)}\r\n{more}"
-    return head(headers, signed, status) + body.encode()
+    return response_head(headers, signed, status) + body.encode()
 
 
-def stream_head(headers: Headers) -> bytes:
-    return head(
+def stream_response_head(headers: Headers) -> bytes:
+    return response_head(
         headers, "Signed: 1\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
     )
 
 
-def event(number: int) -> bytes:
+def event_chunk(number: int) -> bytes:
     content = f"id: {number}\ndata: e{number}\n\n".encode()
     return f"{len(content):x}\r\n".encode() + content + b"\r\n"
 
 
-END = b"0\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
 
 
 @dataclass(slots=True)
@@ -97,8 +97,8 @@
     def reset(self) -> None:
         """Reset every connection, as a link that lost its state does."""
         for writer in self.writers:
-            made = writer.transport.get_extra_info("socket")
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_ONCE)
+            connection = writer.transport.get_extra_info("socket")
+            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             writer.transport.abort()
         self.writers.clear()
 
@@ -136,25 +136,25 @@
     key_trust = KeyTrust.WHILE_PROVED
 
     def configuration(self) -> Configuration:
-        shares = (Share(SERVICE if self.kind is RouteKind.STREAM else PLAIN, 1),)
+        shares = (Share(SERVICE if self.kind is RouteKind.STREAM else PLAIN_SERVICE, 1),)
         route = Route(
             *("r", "care.example", "/a/", self.kind, self.resumable, False, self.attempts),
             *(4.0, 0.4, 0.2, 1, shares),
         )
         organisation = Organisation(OrganisationId("ann"), ("secret",))
-        services = (Service(SERVICE, 100, SPEC), Service(PLAIN, 100))
+        services = (Service(SERVICE, 100, SPEC), Service(PLAIN_SERVICE, 100))
         return Configuration(Version(1), (route,), services, (organisation,), self.limits)
 
-    def relayed(
+    def run_with_relay(
         self,
-        work: Callable[["Running"], Awaitable[None]],
+        work: Callable[["RunningRelay"], Awaitable[None]],
         *scripts: Script,
         key_trust_s: float = 60.0,
     ) -> None:
         async def run() -> None:
             freshness = Freshness(key_trust_s, self.key_trust)
             budget = RetryBudget(*self.budget)
-            running = Running(self.configuration(), scripts, freshness, self.tuning, budget)
+            running = RunningRelay(self.configuration(), scripts, freshness, self.tuning, budget)
             try:
                 await running.start()
                 await work(running)
@@ -164,7 +164,7 @@
         asyncio.run(run())
 
 
-class Running:
+class RunningRelay:
     """Hold the relay, its targets in the order in which they are preferred, and a caller."""
 
     def __init__(
@@ -191,29 +191,29 @@
         self.serving.freshness.prove(asyncio.get_running_loop().time())
         for target in self.targets:
             await target.start()
-        self.show()
-        self.resting = RestingBounds()
-        to_targets = TargetConnector(lambda: self.metrics.count("connections"), self.resting)
-        self.kept = target_session(to_targets)
-        self.single = target_session(TargetConnector(keeps=False))
+        self.list_targets()
+        self.idle_limits = IdleLimits()
+        to_targets = TargetConnector(lambda: self.metrics.count("connections"), self.idle_limits)
+        self.pooled = target_session(to_targets)
+        self.single_use = target_session(TargetConnector(keep_alive=False))
         log = EventLog("entry", "e", "critical")
         self.book = CrashBook()
         self.crashes = CrashWatch(self.book, log, self.metrics)
         notices = NoticeWatch(self.backoffs, self.limits, log, self.metrics)
         self.relay = Relay(
-            *(self.serving, PlainDialect(), self.kept, self.single, DemandMeter()),
+            *(self.serving, PlainDialect(), self.pooled, self.single_use, DemandMeter()),
             *(self.tuning, self.budget, self.suspected.append, self.crashes, notices, log),
             self.metrics,
         )
-        self.bounded = CallerConnections()
-        server = CallerServer(self.serving, self.relay, self.bounded)
+        self.caller_connections = CallerConnections()
+        server = CallerServer(self.serving, self.relay, self.caller_connections)
         self.runner = web.ServerRunner(server, shutdown_timeout=0.1)
         await self.runner.setup()
         await web.TCPSite(self.runner, "127.0.0.1", 0).start()
         self.port = self.runner.addresses[0][1]
         self.caller = aiohttp.ClientSession()
 
-    def show(self) -> None:
+    def list_targets(self) -> None:
         """Show every target both as the leader of a group and as a plain target."""
         groups, plain = [], []
         for number, target in enumerate(self.targets):
@@ -225,12 +225,12 @@
                     *(group, Epoch(1), SERVICE, LARGE.name, instance, target.address, HALL, pace)
                 )
             )
-            plain.append(ListedTarget(instance, PLAIN, target.address, HALL))
+            plain.append(ListedTarget(instance, PLAIN_SERVICE, target.address, HALL))
         self.fleet.set_groups(groups)
         self.fleet.set_targets(plain)
 
     async def stop(self) -> None:
-        for session in (self.caller, self.kept, self.single):
+        for session in (self.caller, self.pooled, self.single_use):
             await session.close()
         await self.runner.cleanup()
         for target in self.targets:
@@ -247,7 +247,7 @@
         writer.close()
         return answer
 
-    async def ask(
+    async def send_request(
         self, path: str = "/a/x?q=%2F", key: str = "secret", method: str = "POST", **more: str
     ) -> Answer:
         headers = {"Host": "care.example", "Request": "r1", "Key": key, "Model": LARGE.name, **more}
@@ -262,4 +262,13 @@
             return Answer(response.status, dict(response.headers), body)
 
 
-__all__ = ["END", "Answer", "RelayCase", "Running", "event", "head", "stream_head", "whole"]
+__all__ = [
+    "LAST_CHUNK",
+    "Answer",
+    "RelayCase",
+    "RunningRelay",
+    "event_chunk",
+    "response_head",
+    "stream_response_head",
+    "complete_response",
+]
--- a/tests/direct/sendworld.py
+++ b/tests/direct/sendworld.py
@@ -239,7 +239,7 @@
             attempt = Attempt(target, "x:1", HallId("h"), target, begun_s=now_s)
             entry.limit.sent(attempt)
             if not self.guards.held:
-                attempt.written(now_s)
+                attempt.record_written(now_s)
             self._writes.append((self.now_s + connect_s, entry, attempt))
             sent += 1
         self._write()
@@ -252,7 +252,7 @@
             if self.entries.get(entry.name) is entry:
                 self.written[attempt.instance].append(self.now_s)
                 if self.guards.held:
-                    attempt.written(self.now_s + entry.clock_s)
+                    attempt.record_written(self.now_s + entry.clock_s)
 
     def most(self) -> int:
         """Return the most requests that any target got within a second."""
--- a/tests/direct/test_backoff.py
+++ b/tests/direct/test_backoff.py
@@ -23,82 +23,90 @@
 from ochreway_runtime.logs import EventLog
 from ochreway_runtime.looplag import LoopLag
 from ochreway_runtime.metrics import Metrics
-from tests.direct.relaycase import END, Headers, RelayCase, Running, event, stream_head, whole
+from tests.direct.relaycase import (
+    LAST_CHUNK,
+    Headers,
+    RelayCase,
+    RunningRelay,
+    complete_response,
+    event_chunk,
+    stream_response_head,
+)
 from tests.direct.test_relay import Writer, good
 
 ENGINE = InstanceId("i")
-ASKS_S = 3.0
-FIRST_LIFE, NEXT_LIFE = 1000, 2000
+RETRY_AFTER_S = 3.0
+FIRST_INCARNATION_MS, NEXT_INCARNATION_MS = 1000, 2000
 
 
-async def away(headers: Headers, writer: Writer) -> None:
-    more = f"Not-Run: 1\r\nRetry-After: {ASKS_S}\r\n"
-    writer.write(whole(headers, "", "503 Busy", more))
+async def backing_off(headers: Headers, writer: Writer) -> None:
+    extra_headers = f"Not-Run: 1\r\nRetry-After: {RETRY_AFTER_S}\r\n"
+    writer.write(complete_response(headers, "", "503 Busy", extra_headers))
 
 
 async def streamed(headers: Headers, writer: Writer) -> None:
-    writer.write(stream_head(headers) + event(1) + END)
+    writer.write(stream_response_head(headers) + event_chunk(1) + LAST_CHUNK)
 
 
 class PlainRequestTests(RelayCase):
     kind = RouteKind.SAFE
-    serves = staticmethod(good)
+    answering_script = staticmethod(good)
 
-    def test_a_target_that_named_a_time_gets_nothing_more_and_did_not_fail(self) -> None:
-        async def work(running: Running) -> None:
+    def test_a_target_that_backs_off_gets_no_more_requests_and_counts_as_healthy(self) -> None:
+        async def work(running: RunningRelay) -> None:
             for _ in range(5):
-                self.assertEqual(200, (await running.ask()).status)
+                self.assertEqual(200, (await running.send_request()).status)
             self.assertEqual(1, len(running.targets[0].seen))
             self.assertEqual(1.0, running.fleet._health[InstanceId("t0")].penalty())
             self.assertEqual(1, running.metrics.counters["retry.backoff"])
 
-        self.relayed(work, away, self.serves)
+        self.run_with_relay(work, backing_off, self.answering_script)
 
-    def test_without_a_place_a_caller_is_told_the_whole_time_at_once(self) -> None:
-        async def work(running: Running) -> None:
+    def test_with_all_targets_backing_off_the_full_wait_is_returned_at_once(self) -> None:
+        async def work(running: RunningRelay) -> None:
             loop = asyncio.get_running_loop()
-            await running.ask()
+            await running.send_request()
             begun_s = loop.time()
-            answer = await running.ask()
-            self.assertLess(loop.time() - begun_s, running.tuning.patience_share * 0.4)
+            answer = await running.send_request()
+            self.assertLess(loop.time() - begun_s, running.tuning.max_wait_share * 0.4)
             self.assertEqual((503, b"backoff\n"), (answer.status, answer.body))
-            self.assertGreater(float(answer.headers["Retry-After"]), ASKS_S - 0.5)
-            self.assertEqual([1, 1], [len(each.seen) for each in running.targets])
+            self.assertGreater(float(answer.headers["Retry-After"]), RETRY_AFTER_S - 0.5)
+            self.assertEqual([1, 1], [len(target.seen) for target in running.targets])
 
-        self.relayed(work, away, away)
+        self.run_with_relay(work, backing_off, backing_off)
 
-    def test_a_request_whose_connection_came_too_late_is_not_written(self) -> None:
-        async def work(running: Running) -> None:
+    def test_a_request_is_not_written_if_the_target_backed_off_while_connecting(self) -> None:
+        async def work(running: RunningRelay) -> None:
             # As if the target had asked for time while the connection was being made.
             running.fleet._backoffs = Backoffs()
             now_s = asyncio.get_running_loop().time()
-            running.backoffs.take("t0", TargetNotice(ASKS_S), now_s)
-            self.assertEqual(200, (await running.ask()).status)
-            self.assertEqual([0, 1], [len(each.seen) for each in running.targets])
+            running.backoffs.take("t0", TargetNotice(RETRY_AFTER_S), now_s)
+            self.assertEqual(200, (await running.send_request()).status)
+            self.assertEqual([0, 1], [len(target.seen) for target in running.targets])
 
-        self.relayed(work, self.serves, self.serves)
+        self.run_with_relay(work, self.answering_script, self.answering_script)
 
 
 class GroupRequestTests(PlainRequestTests):
     kind = RouteKind.STREAM
-    serves = staticmethod(streamed)
+    answering_script = staticmethod(streamed)
 
 
 class BusyEngines(EngineControl):
     """Turn questions and orders away, and count them."""
 
     def __init__(self) -> None:
-        self.asked = 0
+        self.calls = 0
 
     async def state(self, address: str, instance: InstanceId, timeout_s: float) -> EngineState:
-        self.asked += 1
-        raise TargetTurnedAway(TargetNotice(ASKS_S))
+        self.calls += 1
+        raise TargetTurnedAway(TargetNotice(RETRY_AFTER_S))
 
     async def order(
         self, address: str, instance: InstanceId, order: Order, timeout_s: float
     ) -> OrderOutcome:
-        self.asked += 1
-        raise TargetTurnedAway(TargetNotice(ASKS_S))
+        self.calls += 1
+        raise TargetTurnedAway(TargetNotice(RETRY_AFTER_S))
 
 
 class EngineTests(testtools.TestCase):
@@ -123,33 +131,37 @@
             born_ms=born_ms,
         )
 
-    def play(self, next_born_ms: int | None, stands: bool = True) -> tuple[int, bool, bool]:
+    def run_two_rounds(
+        self, next_born_ms: int | None, listening: bool = True
+    ) -> tuple[int, bool, bool]:
         """Ask and order twice; return how often it was reached, and how it is known then."""
 
         async def work() -> tuple[int, bool, bool]:
             server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
             coordination = self.coordination()
-            coordination.listed((self.listed(FIRST_LIFE, port),), 0.0, -1.0e9)
+            coordination.listed((self.listed(FIRST_INCARNATION_MS, port),), 0.0, -1.0e9)
             record = coordination.coordinator.engines[ENGINE]
             await coordination._probe(record)
-            if not stands:
+            if not listening:
                 server.close()
             coordination.listed((self.listed(next_born_ms, port),), 0.0, -1.0e9)
             await coordination._probe(record)
             order = Leave(GroupId("g"), Epoch(1))
             await coordination._order(Assignment(ENGINE, record.listed.address, order))
             server.close()
-            return self.engines.asked, record.backed_off, record.dead
+            return self.engines.calls, record.backed_off, record.dead
 
         return asyncio.run(work())
 
-    def test_an_engine_that_asked_for_time_gets_neither_questions_nor_orders(self) -> None:
-        self.assertEqual((1, True, False), self.play(FIRST_LIFE))
+    def test_an_engine_that_backs_off_gets_neither_queries_nor_orders(self) -> None:
+        self.assertEqual((1, True, False), self.run_two_rounds(FIRST_INCARNATION_MS))
 
-    def test_its_end_is_seen_meanwhile(self) -> None:
-        self.assertEqual((1, True, True), self.play(FIRST_LIFE, stands=False))
+    def test_the_end_of_an_engine_that_backs_off_is_noticed(self) -> None:
+        self.assertEqual(
+            (1, True, True), self.run_two_rounds(FIRST_INCARNATION_MS, listening=False)
+        )
 
-    def test_its_next_life_is_asked_at_once(self) -> None:
-        asked, _, _ = self.play(NEXT_LIFE)
+    def test_the_next_incarnation_is_queried_at_once(self) -> None:
+        asked, _, _ = self.run_two_rounds(NEXT_INCARNATION_MS)
         self.assertEqual(2, asked)
--- a/tests/direct/test_closedhalls.py
+++ b/tests/direct/test_closedhalls.py
@@ -15,14 +15,14 @@
 from ochreway_direct.relay.tuning import RelayTuning
 from ochreway_standins.engineworld import LARGE, SERVICE, SPEC
 from tests.direct.relaycase import (
-    END,
-    PLAIN,
+    LAST_CHUNK,
+    PLAIN_SERVICE,
     Headers,
     RelayCase,
-    Running,
-    event,
-    stream_head,
-    whole,
+    RunningRelay,
+    complete_response,
+    event_chunk,
+    stream_response_head,
 )
 
 CLOSED, OPEN = HallId("closed"), HallId("open")
@@ -36,7 +36,7 @@
 
 
 def plain(name: str, hall: HallId) -> ListedTarget:
-    return ListedTarget(InstanceId(name), PLAIN, "x:1", hall)
+    return ListedTarget(InstanceId(name), PLAIN_SERVICE, "x:1", hall)
 
 
 class ClosedFleetTests(testtools.TestCase):
@@ -57,9 +57,9 @@
 
     def test_a_plain_target_in_the_hall_gets_nothing(self) -> None:
         self.fleet.set_targets((plain("there", CLOSED), plain("here", OPEN)))
-        chosen = {self.fleet.pick_target(PLAIN, ()) for _ in range(20)}
+        chosen = {self.fleet.pick_target(PLAIN_SERVICE, ()) for _ in range(20)}
         self.assertEqual({"here"}, {each.instance for each in chosen if each is not None})
-        self.assertIsNone(self.fleet.pick_target(PLAIN, (InstanceId("here"),)))
+        self.assertIsNone(self.fleet.pick_target(PLAIN_SERVICE, (InstanceId("here"),)))
 
     def test_a_hall_that_is_open_again_is_used_at_once(self) -> None:
         self.fleet.set_groups((group("there", CLOSED),))
@@ -70,30 +70,30 @@
         self.assertFalse(self.fleet.all_closed(SERVICE, LARGE.name))
         self.fleet.set_groups((group("there", CLOSED),))
         self.assertTrue(self.fleet.all_closed(SERVICE, LARGE.name))
-        self.assertFalse(self.fleet.all_closed(PLAIN, None))
+        self.assertFalse(self.fleet.all_closed(PLAIN_SERVICE, None))
         self.fleet.set_groups((group("there", CLOSED), group("here", OPEN)))
         self.assertFalse(self.fleet.all_closed(SERVICE, LARGE.name))
         self.assertTrue(self.fleet.all_closed(SERVICE, LARGE.name, frozenset({CLOSED})))
 
 
 class ClosedRelayTests(RelayCase):
-    tuning = RelayTuning(patience_share=5.0)
+    tuning = RelayTuning(max_wait_share=5.0)
 
     def test_with_every_place_in_a_closed_hall_a_caller_is_refused_at_once_as_not_run(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             (target,) = running.fleet._targets.values()
             running.fleet.set_closed_halls(frozenset({target.hall}))
             begun_s = asyncio.get_running_loop().time()
-            answer = await running.ask()
+            answer = await running.send_request()
             self.assertLess(asyncio.get_running_loop().time() - begun_s, 0.5)
             self.assertEqual((503, b"hall_drained\n"), (answer.status, answer.body))
             self.assertGreater(float(answer.headers["Retry-After"]), 0.0)
             self.assertEqual([], running.targets[0].seen)
 
         async def good(headers: Headers, writer: asyncio.StreamWriter) -> None:
-            writer.write(whole(headers, "fine"))
+            writer.write(complete_response(headers, "fine"))
 
-        self.relayed(work, good)
+        self.run_with_relay(work, good)
 
 
 class ClosedStreamTests(RelayCase):
@@ -105,32 +105,32 @@
         found: list[tuple[bytes, list[int]]] = []
 
         async def first(headers: Headers, writer: asyncio.StreamWriter) -> None:
-            writer.write(stream_head(headers) + event(1))
+            writer.write(stream_response_head(headers) + event_chunk(1))
             await writer.drain()
             await asyncio.sleep(BREAKS_S)
             if breaks:
                 writer.close()
                 return
-            writer.write(event(2) + event(3) + END)
+            writer.write(event_chunk(2) + event_chunk(3) + LAST_CHUNK)
 
         async def other(headers: Headers, writer: asyncio.StreamWriter) -> None:
             begin = int(headers["after"]) + 1
-            pieces = b"".join(event(number) for number in range(begin, 4))
-            writer.write(stream_head(headers) + pieces + END)
+            pieces = b"".join(event_chunk(number) for number in range(begin, 4))
+            writer.write(stream_response_head(headers) + pieces + LAST_CHUNK)
 
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             groups = list(running.fleet._groups.values())
             halls = (CLOSED, CLOSED, OPEN)
             moved = [replace(each, hall=hall) for each, hall in zip(groups, halls, strict=True)]
             running.fleet.set_groups(moved)
-            asking = asyncio.ensure_future(running.ask())
+            asking = asyncio.ensure_future(running.send_request())
             await asyncio.sleep(BREAKS_S / 2)
             running.fleet.set_closed_halls(frozenset({CLOSED}))
             answer = await asking
             self.assertFalse(answer.broken)
             found.append((answer.body, [len(target.seen) for target in running.targets]))
 
-        self.relayed(work, first, other, other)
+        self.run_with_relay(work, first, other, other)
         return found[0]
 
     def test_what_is_under_way_there_ends_by_itself(self) -> None:
--- a/tests/direct/test_crashes.py
+++ b/tests/direct/test_crashes.py
@@ -8,19 +8,27 @@
 from ochreway_direct.configuration import RouteKind
 from ochreway_routing.crashbook import REMEMBERED_S
 from ochreway_routing.crashrecord import FATAL_CRASHES
-from tests.direct.relaycase import END, Headers, RelayCase, Running, event, stream_head, whole
+from tests.direct.relaycase import (
+    LAST_CHUNK,
+    Headers,
+    RelayCase,
+    RunningRelay,
+    complete_response,
+    event_chunk,
+    stream_response_head,
+)
 
 Writer = asyncio.StreamWriter
 FATAL = "x"
 OTHER = "y"
 
 
-def fatal_to(running: Callable[[], Running], number: int) -> Callable[..., Awaitable[None]]:
+def fatal_to(running: Callable[[], RunningRelay], number: int) -> Callable[..., Awaitable[None]]:
     """Return a script by which a target ends under requests for one path and answers others."""
 
     async def script(headers: Headers, writer: Writer) -> None:
         if f"/a/{FATAL}" not in headers["line"]:
-            writer.write(whole(headers, "fine"))
+            writer.write(complete_response(headers, "fine"))
             return
         target = running().targets[number]
         assert target.server is not None
@@ -37,16 +45,16 @@
 class CrashCase(RelayCase):
     budget = (0.5, 100.0)
 
-    def on_targets(self, work: Callable[[Running], Awaitable[None]], targets: int) -> None:
-        found: list[Running] = []
+    def on_targets(self, work: Callable[[RunningRelay], Awaitable[None]], targets: int) -> None:
+        found: list[RunningRelay] = []
 
-        async def noted(running: Running) -> None:
+        async def noted(running: RunningRelay) -> None:
             found.append(running)
             await work(running)
 
-        self.relayed(noted, *(fatal_to(lambda: found[0], n) for n in range(targets)))
+        self.run_with_relay(noted, *(fatal_to(lambda: found[0], n) for n in range(targets)))
 
-    def fingerprint(self, running: Running) -> Fingerprint:
+    def fingerprint(self, running: RunningRelay) -> Fingerprint:
         (found,) = running.book.fatal()
         return found
 
@@ -54,11 +62,14 @@
 class FatalTests(CrashCase):
     attempts = 2
 
-    async def ask_often(self, running: Running, times: int) -> list[int]:
-        return [(await running.ask(f"/a/{FATAL}", Request=f"r{n}")).status for n in range(times)]
+    async def ask_often(self, running: RunningRelay, times: int) -> list[int]:
+        return [
+            (await running.send_request(f"/a/{FATAL}", Request=f"r{n}")).status
+            for n in range(times)
+        ]
 
     def test_it_is_refused_from_the_third_crash_on_and_never_sent_again(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             statuses = await self.ask_often(running, 6)
             self.assertEqual([502, 502, 503, 503, 503, 503], statuses)
             self.assertEqual(FATAL_CRASHES, sum(len(each.seen) for each in running.targets))
@@ -67,9 +78,9 @@
         self.on_targets(work, 8)
 
     def test_its_caller_is_told_that_it_did_not_run_and_how_long_that_lasts(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             await self.ask_often(running, 2)
-            answer = await running.ask(f"/a/{FATAL}", Request="r9")
+            answer = await running.send_request(f"/a/{FATAL}", Request="r9")
             self.assertEqual((503, b"ends_targets\n"), (answer.status, answer.body))
             self.assertGreater(float(answer.headers["Retry-After"]), REMEMBERED_S - 5.0)
             self.assertEqual(2, running.metrics.counters["refused.ends_targets"])
@@ -77,25 +88,25 @@
         self.on_targets(work, 8)
 
     def test_other_requests_go_on(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             await self.ask_often(running, 4)
-            self.assertEqual(200, (await running.ask(f"/a/{OTHER}", Request="r9")).status)
+            self.assertEqual(200, (await running.send_request(f"/a/{OTHER}", Request="r9")).status)
             running.body = b"another body"
-            self.assertEqual(502, (await running.ask(f"/a/{FATAL}", Request="r10")).status)
+            self.assertEqual(502, (await running.send_request(f"/a/{FATAL}", Request="r10")).status)
 
         self.on_targets(work, 8)
 
     def test_resets_of_targets_that_stand_count_for_nothing(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             statuses = await self.ask_often(running, 6)
             self.assertEqual({502}, set(statuses))
             self.assertEqual([], running.book.suspects(0.0))
             self.assertNotIn("crash.under_request", running.metrics.counters)
 
-        self.relayed(work, *(resets for _ in range(8)))
+        self.run_with_relay(work, *(resets for _ in range(8)))
 
     def test_a_good_end_clears_it(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             self.assertEqual([502], await self.ask_often(running, 1))
             (suspect,) = running.book.suspects(0.0)
             self.assertEqual(2, running.book.crashes(suspect))
@@ -108,7 +119,7 @@
         self.on_targets(work, 4)
 
     def test_long_after_one_try_is_sent_once(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             await self.ask_often(running, 3)
             record = running.book._fatal[self.fingerprint(running)]
             record.asked_s -= REMEMBERED_S + 1.0
@@ -120,7 +131,7 @@
 
 
 async def good(headers: Headers, writer: Writer) -> None:
-    writer.write(whole(headers, "fine"))
+    writer.write(complete_response(headers, "fine"))
 
 
 class FatalStreamTests(CrashCase):
@@ -129,12 +140,12 @@
     attempts = 5
 
     def test_a_stream_whose_resumptions_end_leaders_is_broken_off_at_the_third(self) -> None:
-        found: list[Running] = []
+        found: list[RunningRelay] = []
 
         def script(number: int) -> Callable[..., Awaitable[None]]:
             async def ends(headers: Headers, writer: Writer) -> None:
                 begin = int(headers.get("after", 0)) + 1
-                writer.write(stream_head(headers) + event(begin))
+                writer.write(stream_response_head(headers) + event_chunk(begin))
                 await writer.drain()
                 await asyncio.sleep(0.05)
                 target = found[0].targets[number]
@@ -144,13 +155,13 @@
 
             return ends
 
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             found.append(running)
-            answer = await running.ask()
+            answer = await running.send_request()
             self.assertTrue(answer.broken)
             self.assertEqual(FATAL_CRASHES, sum(len(each.seen) for each in running.targets))
             self.assertEqual(1, running.metrics.counters["broken.ends_targets"])
-            self.assertEqual(503, (await running.ask(Request="r2")).status)
-            self.assertNotIn(END, answer.body)
+            self.assertEqual(503, (await running.send_request(Request="r2")).status)
+            self.assertNotIn(LAST_CHUNK, answer.body)
 
-        self.relayed(work, *(script(n) for n in range(6)))
+        self.run_with_relay(work, *(script(n) for n in range(6)))
--- a/tests/direct/test_eventsplitter.py
+++ b/tests/direct/test_eventsplitter.py
@@ -9,11 +9,11 @@
 
 
 class EventSplitterTests(testtools.TestCase):
-    def test_a_part_of_an_event_is_held_back(self) -> None:
+    def test_an_incomplete_event_is_held_back(self) -> None:
         splitter = EventSplitter()
         self.assertEqual(b"id: 1\ndata: a\n\n", splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda"))
         self.assertEqual("1", splitter.last_id)
-        self.assertEqual(b"id: 2\nda", splitter.rest())
+        self.assertEqual(b"id: 2\nda", splitter.incomplete())
 
     @given(st.lists(st.integers(1, len(EVENTS)), max_size=12))
     def test_pieces_of_any_size_give_the_same_events(self, cuts: list[int]) -> None:
--- a/tests/direct/test_homes.py
+++ b/tests/direct/test_homes.py
@@ -32,7 +32,15 @@
 from ochreway_direct.versions.freshness import Freshness
 from ochreway_runtime.logs import EventLog
 from ochreway_standins.engineworld import LARGE, SERVICE, SMALL, SPEC, EngineWorld
-from tests.direct.relaycase import END, Headers, RelayCase, Running, event, stream_head, whole
+from tests.direct.relaycase import (
+    LAST_CHUNK,
+    Headers,
+    RelayCase,
+    RunningRelay,
+    complete_response,
+    event_chunk,
+    stream_response_head,
+)
 
 EAST, WEST, SOUTH = RegionId("east"), RegionId("west"), RegionId("south")
 E1, E2, W1, NOWHERE = HallId("e1"), HallId("e2"), HallId("w1"), HallId("n1")
@@ -42,7 +50,7 @@
 
 
 async def good(headers: Headers, writer: Writer) -> None:
-    writer.write(whole(headers, "fine"))
+    writer.write(complete_response(headers, "fine"))
 
 
 async def cut(headers: Headers, writer: Writer) -> None:
@@ -50,7 +58,7 @@
 
 
 async def full(headers: Headers, writer: Writer) -> None:
-    writer.write(whole(headers, "", "503 Busy", "Not-Run: 1\r\n"))
+    writer.write(complete_response(headers, "", "503 Busy", "Not-Run: 1\r\n"))
 
 
 class HomesTests(testtools.TestCase):
@@ -176,7 +184,7 @@
         ann = replace(plain.organisations[0], homes=self.organisation_homes)
         return replace(plain, routes=(route,), organisations=(ann,))
 
-    def place(self, running: Running, *halls: HallId) -> None:
+    def place(self, running: RunningRelay, *halls: HallId) -> None:
         """Put the targets in halls, in their order."""
         running.serving.homes = Homes(REGION_OF)
         fleet = running.fleet
@@ -185,7 +193,7 @@
         targets = zip(fleet._targets.values(), halls, strict=True)
         fleet.set_targets([replace(each, hall=hall) for each, hall in targets])
 
-    def seen(self, running: Running) -> list[int]:
+    def seen(self, running: RunningRelay) -> list[int]:
         return [len(each.seen) for each in running.targets]
 
 
@@ -195,44 +203,44 @@
     def test_a_repeat_goes_to_the_other_home_never_outside(self) -> None:
         for script in (cut, full):
 
-            async def work(running: Running) -> None:
+            async def work(running: RunningRelay) -> None:
                 self.place(running, W1, E1, NOWHERE, E2)
                 for number in range(6):
-                    answer = await running.ask(Request=f"r{number}")
+                    answer = await running.send_request(Request=f"r{number}")
                     self.assertEqual((200, b"fine"), (answer.status, answer.body))
                 self.assertEqual([0, 0], self.seen(running)[::2])
                 self.assertEqual(6, self.seen(running)[3])
 
-            self.relayed(work, good, script, good, good)
+            self.run_with_relay(work, good, script, good, good)
 
     def test_with_the_only_home_failing_nothing_outside_is_asked(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             self.place(running, W1, E1, NOWHERE)
-            self.assertEqual(502, (await running.ask()).status)
+            self.assertEqual(502, (await running.send_request()).status)
             self.assertEqual([0, 2, 0], self.seen(running))
 
-        self.relayed(work, good, cut, good)
+        self.run_with_relay(work, good, cut, good)
 
     def test_a_home_that_has_halls_but_no_target_is_waited_for_and_refused_as_any(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             self.place(running, W1, NOWHERE)
-            answer = await running.ask()
+            answer = await running.send_request()
             self.assertEqual((503, b"no_group\n"), (answer.status, answer.body))
             self.assertEqual([0, 0], self.seen(running))
 
-        self.relayed(work, good, good)
+        self.run_with_relay(work, good, good)
 
     def test_without_any_known_hall_it_is_refused_at_once_and_counted(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             self.place(running, W1, E1)
             running.serving.homes = Homes({W1: WEST})
-            answer = await running.ask()
+            answer = await running.send_request()
             self.assertEqual((503, b"no_home\n"), (answer.status, answer.body))
             self.assertGreater(float(answer.headers["Retry-After"]), 0.0)
             self.assertEqual([0, 0], self.seen(running))
             self.assertEqual(1, running.metrics.counters["refused.no_home"])
 
-        self.relayed(work, good, good)
+        self.run_with_relay(work, good, good)
 
 
 class ResumedWithinHomesTests(BoundCase):
@@ -243,50 +251,50 @@
 
     def test_a_broken_stream_goes_on_at_the_other_home(self) -> None:
         async def breaks(headers: Headers, writer: Writer) -> None:
-            writer.write(stream_head(headers) + event(1))
+            writer.write(stream_response_head(headers) + event_chunk(1))
             await writer.drain()
             await asyncio.sleep(0.05)
             writer.close()
 
         async def goes_on(headers: Headers, writer: Writer) -> None:
             begin = int(headers.get("after", 0)) + 1
-            pieces = b"".join(event(number) for number in range(begin, 4))
-            writer.write(stream_head(headers) + pieces + END)
+            pieces = b"".join(event_chunk(number) for number in range(begin, 4))
+            writer.write(stream_response_head(headers) + pieces + LAST_CHUNK)
 
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             self.place(running, E1, W1, E2)
-            answer = await running.ask()
+            answer = await running.send_request()
             self.assertEqual((False, 3), (answer.broken, answer.body.count(b"data:")))
             self.assertEqual([1, 0, 1], self.seen(running))
 
-        self.relayed(work, breaks, goes_on, goes_on)
+        self.run_with_relay(work, breaks, goes_on, goes_on)
 
     def test_with_no_other_home_it_ends_broken_rather_than_go_outside(self) -> None:
         async def breaks(headers: Headers, writer: Writer) -> None:
-            writer.write(stream_head(headers) + event(1))
+            writer.write(stream_response_head(headers) + event_chunk(1))
             await writer.drain()
             await asyncio.sleep(0.05)
             writer.close()
 
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             self.place(running, E1, W1)
-            self.assertTrue((await running.ask()).broken)
+            self.assertTrue((await running.send_request()).broken)
             self.assertEqual([1, 0], self.seen(running))
 
-        self.relayed(work, breaks, good)
+        self.run_with_relay(work, breaks, good)
 
 
 class OrganisationHomesTests(BoundCase):
     organisation_homes = (WEST,)
 
     def test_an_organisation_is_served_at_its_home_alone(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             self.place(running, E1, W1)
             for number in range(6):
-                self.assertEqual(200, (await running.ask(Request=f"r{number}")).status)
+                self.assertEqual(200, (await running.send_request(Request=f"r{number}")).status)
             self.assertEqual([0, 6], self.seen(running))
 
-        self.relayed(work, good, good)
+        self.run_with_relay(work, good, good)
 
 
 class BothBindTests(BoundCase):
@@ -294,33 +302,33 @@
     organisation_homes = (WEST, SOUTH)
 
     def test_what_both_allow_serves(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             self.place(running, E1, W1)
             for number in range(6):
-                self.assertEqual(200, (await running.ask(Request=f"r{number}")).status)
+                self.assertEqual(200, (await running.send_request(Request=f"r{number}")).status)
             self.assertEqual([0, 6], self.seen(running))
 
-        self.relayed(work, good, good)
+        self.run_with_relay(work, good, good)
 
 
 class ContradictionTests(BoundCase):
     kind = RouteKind.UNSAFE
-    tuning = RelayTuning(patience_share=5.0)
+    tuning = RelayTuning(max_wait_share=5.0)
     route_homes = (EAST,)
     organisation_homes = (WEST,)
 
     def test_what_no_region_may_serve_is_refused_at_once_as_not_run(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             self.place(running, E1, W1)
             loop = asyncio.get_running_loop()
             begun_s = loop.time()
-            answer = await running.ask()
+            answer = await running.send_request()
             self.assertEqual((503, b"no_home\n"), (answer.status, answer.body))
-            patience_s = self.tuning.patience_share * self.configuration().routes[0].objective_s
+            patience_s = self.tuning.max_wait_share * self.configuration().routes[0].objective_s
             self.assertLess(loop.time() - begun_s, patience_s / 4)
             self.assertEqual([0, 0], self.seen(running))
 
-        self.relayed(work, good, good)
+        self.run_with_relay(work, good, good)
 
 
 class HomeCheckTests(testtools.TestCase):
--- a/tests/direct/test_limits.py
+++ b/tests/direct/test_limits.py
@@ -2,70 +2,72 @@
 import asyncio
 
 from ochreway_direct.configuration import CallerLimits
-from tests.direct.relaycase import Headers, RelayCase, Running
+from tests.direct.relaycase import Headers, RelayCase, RunningRelay
 from tests.direct.test_relay import good
 
-HEADERS_AT_MOST = 2000
+MAX_HEADER_BYTES = 2000
 
 
 class LimitTests(RelayCase):
     limits = CallerLimits(
-        header_bytes=HEADERS_AT_MOST,
+        header_bytes=MAX_HEADER_BYTES,
         body_bytes=3_000_000,
         header_timeout_s=0.3,
         idle_timeout_s=0.6,
     )
 
-    def refused(self, content: bytes, status: bytes) -> None:
+    def check_refused(self, content: bytes, status: bytes) -> None:
         """Check the answer to bytes that are no good request, and that the entry serves on."""
 
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             answer = await running.send_raw(content)
             self.assertEqual(status, answer.split(b" ")[1], answer[:200])
             self.assertEqual([], running.targets[0].seen)
-            self.assertEqual(200, (await running.ask()).status)
+            self.assertEqual(200, (await running.send_request()).status)
 
-        self.relayed(work, good)
+        self.run_with_relay(work, good)
 
     def test_what_is_not_http_gets_400(self) -> None:
-        self.refused(b"\x16\x03\x01\x02\x00 hello\r\n\r\n", b"400")
+        self.check_refused(b"\x16\x03\x01\x02\x00 hello\r\n\r\n", b"400")
 
     def test_one_header_line_too_long_gets_431(self) -> None:
-        line = b"x" * 3 * HEADERS_AT_MOST
-        self.refused(b"GET /a/x HTTP/1.1\r\nHost: care.example\r\nX: " + line + b"\r\n\r\n", b"431")
+        line = b"x" * 3 * MAX_HEADER_BYTES
+        self.check_refused(
+            b"GET /a/x HTTP/1.1\r\nHost: care.example\r\nX: " + line + b"\r\n\r\n", b"431"
+        )
 
     def test_headers_too_long_together_get_431(self) -> None:
         lines = b"".join(b"X-%d: %s\r\n" % (number, b"y" * 100) for number in range(30))
         head = b"GET /a/x HTTP/1.1\r\nHost: care.example\r\nConnection: close\r\n"
-        self.refused(head + lines + b"\r\n", b"431")
+        self.check_refused(head + lines + b"\r\n", b"431")
 
     def test_headers_that_come_too_slowly_get_408(self) -> None:
-        self.refused(b"GET /a/x HTTP/1.1\r\nHost: care.ex", b"408")
+        self.check_refused(b"GET /a/x HTTP/1.1\r\nHost: care.ex", b"408")
 
     def test_a_body_that_never_ends_gets_408(self) -> None:
         head = b"POST /a/x HTTP/1.1\r\nHost: care.example\r\nConnection: close\r\n"
-        self.refused(head + b"Content-Length: 100\r\n\r\nfew", b"408")
+        self.check_refused(head + b"Content-Length: 100\r\n\r\nfew", b"408")
 
     def test_a_body_over_the_limit_gets_413_and_one_below_passes(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             for size, status in ((2_500_000, 200), (3_500_000, 413)):
                 running.body = b"b" * size
-                self.assertEqual(status, (await running.ask()).status)
+                self.assertEqual(status, (await running.send_request()).status)
             self.assertEqual(1, len(running.targets[0].seen))
 
-        self.relayed(work, good)
+        self.run_with_relay(work, good)
 
-    def test_a_connection_that_rests_too_long_is_closed(self) -> None:
-        async def work(running: Running) -> None:
+    def test_a_connection_idle_too_long_is_closed(self) -> None:
+        async def work(running: RunningRelay) -> None:
             loop = asyncio.get_running_loop()
             begun_s = loop.time()
             self.assertEqual(b"", await running.send_raw(b""))
             self.assertGreaterEqual(loop.time() - begun_s, 0.5)
 
-        self.relayed(work, good)
+        self.run_with_relay(work, good)
 
     def test_slow_headers_after_a_request_are_cut_off_too(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             request = (
                 b"POST /a/x HTTP/1.1\r\nHost: care.example\r\nRequest: r1\r\nKey: secret\r\n"
                 b"Content-Length: 0\r\n\r\n"
@@ -74,14 +76,14 @@
             self.assertTrue(answer.startswith(b"HTTP/1.1 200"), answer[:200])
             self.assertIn(b"HTTP/1.1 408", answer)
 
-        self.relayed(work, good)
+        self.run_with_relay(work, good)
 
     def test_slow_headers_that_begin_while_a_request_is_answered_are_cut_off_too(self) -> None:
         async def slow(headers: Headers, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.3)
             await good(headers, writer)
 
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             request = (
                 b"POST /a/x HTTP/1.1\r\nHost: care.example\r\nRequest: r1\r\nKey: secret\r\n"
                 b"Content-Length: 0\r\n\r\n"
@@ -90,4 +92,4 @@
             self.assertTrue(answer.startswith(b"HTTP/1.1 200"), answer[:200])
             self.assertIn(b"HTTP/1.1 408", answer)
 
-        self.relayed(work, slow)
+        self.run_with_relay(work, slow)
--- a/tests/direct/test_means.py
+++ b/tests/direct/test_means.py
@@ -140,9 +140,9 @@
     def test_connections_that_one_target_allows_are_shared_among_entries(self) -> None:
         watch = self.watch(Means())
         watch.check(0.0)
-        self.assertEqual(60, watch.resting.at_one)
+        self.assertEqual(60, watch.resting.max_per_target)
         for number in range(3):
             self.peers.met(Peer(NodeId(f"e{number}"), f"127.0.0.1:{number}"), 0.0)
         watch.check(0.25)
-        self.assertEqual(15, watch.resting.at_one)
-        self.assertIsNone(watch.resting.in_all)
+        self.assertEqual(15, watch.resting.max_per_target)
+        self.assertIsNone(watch.resting.max_total)
--- a/tests/direct/test_placewait.py
+++ b/tests/direct/test_placewait.py
@@ -3,42 +3,42 @@
 
 from ochreway_core.targetnotice import TargetNotice
 from ochreway_direct.configuration import RouteKind
-from tests.direct.relaycase import RelayCase, Running, whole
+from tests.direct.relaycase import RelayCase, RunningRelay, complete_response
 
-JUMP_S = 0.03
+CLOCK_STEP_S = 0.03
 """How much time passes between any two looks at the clock, as on an instance that is very busy."""
-ASKS = 60
+REQUESTS = 60
 
 
 class PlaceWaitTests(RelayCase):
     kind = RouteKind.SAFE
 
-    def test_a_place_that_frees_during_the_last_look_is_not_called_full(self) -> None:
+    def test_a_target_that_frees_during_the_last_check_is_not_reported_as_full(self) -> None:
         """Guards against callers told of a full queue where a target had asked to be left alone."""
 
         async def answer(headers: dict[str, str], writer: asyncio.StreamWriter) -> None:
-            writer.write(whole(headers, "ok"))
+            writer.write(complete_response(headers, "ok"))
 
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             loop = asyncio.get_running_loop()
-            steady, passed_s, each_s = loop.time, 0.0, 0.0
+            real_time, passed_s, step_s = loop.time, 0.0, 0.0
 
             def jumping() -> float:
                 nonlocal passed_s
-                passed_s += each_s
-                return steady() + passed_s
+                passed_s += step_s
+                return real_time() + passed_s
 
             loop.time = jumping  # type: ignore[method-assign]
-            ended = set()
-            for number in range(ASKS):
-                asked = TargetNotice(backoff_s=0.02 * number)
+            endings = set()
+            for number in range(REQUESTS):
+                notice = TargetNotice(backoff_s=0.02 * number)
                 for target in running.targets:
-                    running.backoffs.take(target.name, asked, loop.time())
-                each_s = JUMP_S
-                found = await running.ask()
-                each_s = 0.0
-                ended.add((found.status, found.body.decode().strip()))
-            self.assertLessEqual(ended, {(200, "ok"), (503, "backoff")})
-            self.assertIn((503, "backoff"), ended)
-
-        self.relayed(work, answer)
+                    running.backoffs.take(target.name, notice, loop.time())
+                step_s = CLOCK_STEP_S
+                reply = await running.send_request()
+                step_s = 0.0
+                endings.add((reply.status, reply.body.decode().strip()))
+            self.assertLessEqual(endings, {(200, "ok"), (503, "backoff")})
+            self.assertIn((503, "backoff"), endings)
+
+        self.run_with_relay(work, answer)
--- a/tests/direct/test_sendlimitrelay.py
+++ b/tests/direct/test_sendlimitrelay.py
@@ -12,7 +12,7 @@
 from ochreway_direct.relay.sendtrace import send_trace
 from ochreway_direct.relay.targetprotocol import TargetConnector
 from ochreway_direct.sendlimits.sendlimit import SendLimit
-from tests.direct.relaycase import RelayCase, Running
+from tests.direct.relaycase import RelayCase, RunningRelay
 from tests.direct.test_relay import good
 
 WAIT_S = 0.7
@@ -39,45 +39,45 @@
     kind = RouteKind.SAFE
 
     def test_a_target_whose_share_is_used_up_is_passed_over(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             running.fleet._limit = ScriptedLimit("t1")
-            self.assertEqual(200, (await running.ask()).status)
+            self.assertEqual(200, (await running.send_request()).status)
             self.assertEqual([0, 1], [len(each.seen) for each in running.targets])
 
-        self.relayed(work, good, good)
+        self.run_with_relay(work, good, good)
 
     def test_without_any_share_a_request_is_refused_as_not_run_with_a_true_time(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             running.fleet._limit = ScriptedLimit()
-            answer = await running.ask()
+            answer = await running.send_request()
             self.assertEqual((503, b"send_limit\n"), (answer.status, answer.body))
             self.assertEqual(WAIT_S, float(answer.headers["Retry-After"]))
             self.assertEqual(1, running.metrics.counters["refused.send_limit"])
             self.assertEqual([[], []], [each.seen for each in running.targets])
 
-        self.relayed(work, good, good)
+        self.run_with_relay(work, good, good)
 
     def test_a_share_that_comes_back_within_the_patience_is_used(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             limit = running.fleet._limit = ScriptedLimit()
-            asking = asyncio.create_task(running.ask())
+            asking = asyncio.create_task(running.send_request())
             await asyncio.sleep(0.02)
             limit.allowed = ("t0",)
             self.assertEqual(200, (await asking).status)
 
-        self.relayed(work, good)
+        self.run_with_relay(work, good)
 
     def test_an_attempt_is_known_to_be_written_before_it_is_answered(self) -> None:
         written: list[float | None] = []
 
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             limit = running.fleet._limit = ScriptedLimit("t0")
             traced = aiohttp.ClientSession(
                 connector=TargetConnector(),
                 auto_decompress=False,
                 trace_configs=[send_trace()],
             )
-            running.relay._exchange._kept = traced
+            running.relay._exchange._pooled_session = traced
             target = running.targets[0]
 
             async def slow(headers: dict[str, str], writer: asyncio.StreamWriter) -> None:
@@ -87,12 +87,12 @@
 
             target.script = slow
             begun_s = asyncio.get_running_loop().time()
-            self.assertEqual(200, (await running.ask()).status)
+            self.assertEqual(200, (await running.send_request()).status)
             await traced.close()
             assert written[0] is not None
             self.assertLess(written[0] - begun_s, 0.09)
 
-        self.relayed(work, good)
+        self.run_with_relay(work, good)
 
 
 class StreamTests(RelayCase):
@@ -100,11 +100,11 @@
     resumable = True
 
     def test_without_any_share_a_request_is_refused_as_not_run_with_a_true_time(self) -> None:
-        async def work(running: Running) -> None:
+        async def work(running: RunningRelay) -> None:
             running.fleet._limit = ScriptedLimit()
-            answer = await running.ask()
+            answer = await running.send_request()
             self.assertEqual((503, b"send_limit\n"), (answer.status, answer.body))
             self.assertEqual(WAIT_S, float(answer.headers["Retry-After"]))
             self.assertEqual([[], []], [each.seen for each in running.targets])
 
-        self.relayed(work, good, good)
+        self.run_with_relay(work, good, good)
