--- a/packages/ochreway-direct/src/ochreway_direct/relay/admission.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/admission.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Finding out what a request asks for, and whether its caller may ask for it."""
+"""Admission of requests: routing, authentication and limits of size."""
 
 import asyncio
 import zlib
@@ -23,11 +23,11 @@
 from ochreway_direct.versions.routetable import RouteTable
 
 HEADER_LINE_OVERHEAD_BYTES = 4
-"""Bytes of a header line beside its name and value."""
+"""Bytes that a header line has beside its name and value: ``: `` and CRLF."""
 
 
 class Admission:
-    """Turn requests into calls by the configuration in force."""
+    """Turn requests into calls according to the configuration in force."""
 
     def __init__(self, serving: Serving, meter: DemandMeter, tuning: RelayTuning) -> None:
         self._serving = serving
@@ -35,10 +35,11 @@
         self._tuning = tuning
 
     async def admit(self, request: web.BaseRequest, terms: CallerTerms) -> Call:
-        """Return the call that a request makes.
+        """Return the call for a request.
 
         Raises:
-            Refused: when it is not acceptable, keys cannot be trusted now, or no home is left.
+            Refused: if the request is invalid or unauthorised, keys cannot be trusted now, or
+                none of the halls it is restricted to is left.
         """
         loop = asyncio.get_running_loop()
         started_s = loop.time()
@@ -50,7 +51,7 @@
             )
         if self._serving.closed:
             raise Refused(NOT_RUN_STATUS, Reason.STOPPING, self._tuning.retry_after_elsewhere_s)
-        # Before the routes are read, as what is waited for may bring newer ones.
+        # Awaited before the routes are read, as a newer configuration may arrive meanwhile.
         await self._serving.keys_proved()
         routes = self._serving.routes
         if routes is None:
@@ -97,7 +98,7 @@
             raise Refused(408, Reason.DEADLINE_PASSED) from error
 
     def _identify(self, call: Call, routes: RouteTable) -> Organisation | None:
-        """Name the organisation that calls; its keys are trusted only while they are fresh."""
+        """Authenticate the caller; keys are trusted only while they are fresh."""
         if call.route.public or not routes.asks_for_keys:
             return None
         if not self._serving.keys_trusted():
@@ -111,7 +112,7 @@
         return organisation
 
     def _restrict_to_homes(self, call: Call, organisation: Organisation | None) -> None:
-        """Bind a call to the homes of its route and organisation, where these have any."""
+        """Restrict a call to the home halls of its route and organisation, if they have any."""
         organisation_homes = organisation.homes if organisation is not None else ()
         if not call.route.homes and not organisation_homes:
             return
@@ -120,7 +121,11 @@
             raise Refused(NOT_RUN_STATUS, Reason.NO_HOME, self._tuning.retry_after_stale_s)
 
     def _unknown_refusal(self, status: int, reason: Reason) -> Refused:
-        """Refuse what the configuration lacks; a newer one that is not known yet may have it."""
+        """Return the error for a route or key that the configuration lacks.
+
+        While the configuration is not proved to be the newest one, a newer one may have it, so the
+        request is refused as not run and may be retried.
+        """
         if self._serving.proved():
             return Refused(status, reason)
         return Refused(NOT_RUN_STATUS, Reason.STALE_VERSION, self._tuning.retry_after_stale_s)
@@ -139,14 +144,17 @@
 
 
 def _fingerprint(call: Call) -> Fingerprint:
-    """Return what a call asks for, by whom; callers without a key are told apart by no more."""
+    """Return the fingerprint of a call: its organisation, method, path and body.
+
+    Callers without a key are not distinguished any further.
+    """
     request = call.request
     path = f"{request.host}{request.raw_path}"
     return fingerprint_of(call.organisation or "", request.method, path, call.body)
 
 
 def _choose_service(route: Route, request: str) -> ServiceName:
-    """Return one of a route's services, by its weights and the request's id."""
+    """Choose one of a route's services by weight, keyed by the request's id."""
     total = sum(share.weight for share in route.shares)
     point = zlib.crc32(request.encode()) % max(1, total)
     for share in route.shares:
--- a/packages/ochreway-direct/src/ochreway_direct/relay/attempt.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/attempt.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One sending of a call to one target."""
+"""One attempt to run a call at a target."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -10,15 +10,18 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """Hold where a call was sent; ``abandon`` ends it when its target is lost.
+    """Record where a call was sent; ``abandon`` ends the attempt when its target is lost.
 
-    ``load`` is how many requests its place had when it was chosen, and ``born_ms`` names the life
-    of its target, where that is known. ``status`` is the answer's, 0 before it came, and ``notice``
-    what the target says of itself there.
-    ``written_s`` is when the last part of the request was handed to the connection; at the latest
-    it is written when anything is heard or the attempt ends.
-    The ``last`` attempt that a call may make is not abandoned: nobody else could go on with it,
-    and the rest of its answer may be on its way.
+    Attributes:
+        candidate: the group or target that was chosen, the key of its load.
+        load: number of requests the candidate had when it was chosen.
+        born_ms: start time that identifies the target's incarnation, if it is known.
+        status: HTTP status of the answer, 0 before it arrives.
+        notice: what the target reported about itself in the answer's headers.
+        written_s: when the last part of the request was handed to the connection. The request is
+            certainly written once any answer is received or the attempt has ended.
+        is_last: whether the call may make no further attempt. Such an attempt is not abandoned, as
+            no other target could continue it and the rest of its answer may be under way.
     """
 
     instance: InstanceId
@@ -41,28 +44,28 @@
     _timeout: asyncio.Timeout | None = field(default=None)
 
     def set_timeout(self, timeout: asyncio.Timeout) -> None:
-        """Take the time bound that the attempt runs under."""
+        """Set the timeout that the attempt runs under."""
         self._timeout = timeout
         if self.lost:
             self._expire()
 
     def abandon(self) -> None:
-        """End the attempt, as its target is known to be lost, if another may follow."""
+        """End the attempt because its target is lost, unless it is the last one."""
         if self.is_last:
             return
         self.lost = True
         self._expire()
 
     def record_written(self, now_s: float) -> None:
-        """Note that a part of the request was handed to the connection."""
+        """Record that a part of the request was handed to the connection."""
         self.written_s = now_s
 
     def record_received(self, now_s: float) -> None:
-        """Note that a part of the answer came."""
+        """Record that a part of the answer was received."""
         self.last_received_s = now_s
 
     def extend(self, until_s: float) -> None:
-        """Move the time bound."""
+        """Move the timeout to a later time."""
         if self._timeout is not None and not self.lost and not self._timeout.expired():
             self._timeout.reschedule(until_s)
 
--- a/packages/ochreway-direct/src/ochreway_direct/relay/call.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/call.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One caller's request on its way."""
+"""One caller's request while it is being served."""
 
 from dataclasses import dataclass, field
 
@@ -13,14 +13,19 @@
 
 @dataclass(slots=True)
 class Call:
-    """Hold what was asked, under which route, and what became of it so far.
+    """Hold a request, its route and its progress so far.
 
-    ``runs`` counts the targets that may have begun, lost ones too: the leader of a lost group may
-    be alive. ``waited_s`` is the time spent waiting for a place, ``first_part_s`` the time at which
-    the answer began, ``target`` the one it was last sent to, and ``passed_on_s`` the
-    time at which the caller was last given a part of the answer. It may be served in the halls
-    ``within``, or in any. One ``on_trial`` is sent once, to find out whether what it asks for still
-    ends targets. ``fingerprint`` is the same in every try that asks for the same.
+    Attributes:
+        fingerprint: equal for all requests that ask for the same.
+        allowed_halls: halls it may be served in, or None for any.
+        runs: number of targets that may have begun to run it. Lost ones count too, as the leader
+            of a lost group may be alive.
+        sends: number of times it was sent.
+        on_trial: whether it is sent once to find out if such requests still end targets.
+        target: the target it was last sent to.
+        waited_s: time spent waiting for a target that can take it.
+        first_part_s: when the answer began.
+        last_forwarded_s: when a part of the answer was last forwarded to the caller.
     """
 
     request: web.BaseRequest
@@ -49,21 +54,21 @@
 
     @property
     def last_run(self) -> bool:
-        """Tell whether no further target may run this after the next one."""
+        """Return whether no further target may run this after the next one."""
         return not self.route.repeatable or self.runs + 1 >= self.route.attempts_at_most
 
     @property
     def begun(self) -> bool:
-        """Tell whether a target may have begun this, so that it is not simply refused."""
+        """Return whether a target may have begun this, so that it cannot simply be refused."""
         return self.answer is not None or self.runs > 0
 
     @property
     def silent_since_s(self) -> float:
-        """Return since when the caller has been given nothing."""
+        """Return since when nothing was forwarded to the caller."""
         return self.last_forwarded_s if self.last_forwarded_s is not None else self.started_s
 
     def left_s(self, now_s: float) -> float:
-        """Return the time that is left."""
+        """Return the time left until the deadline."""
         return self.end_s - now_s
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/relay/callerconnections.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/callerconnections.py
@@ -1,24 +1,24 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The callers' connections that are open, within a bound."""
+"""Limit on the number of open connections of callers."""
 
 from enum import Enum
 
 MAX_SURPLUS_CONNECTIONS = 100
-"""How many connections beyond the bound are still told that they cannot be served here."""
+"""Connections over the limit whose first request still gets a refusal; more are dropped unread."""
 
 
 class Admittance(Enum):
-    """Say what becomes of a new connection."""
+    """Name what happens to a new connection."""
 
     SERVED = "served"
     REFUSED = "refused"
-    """Its first request is refused, and the connection closed."""
+    """Its first request is refused, and the connection is closed."""
     DROPPED = "dropped"
-    """It is closed before anything is read of it."""
+    """It is closed before anything is read from it."""
 
 
 class CallerConnections:
-    """Count open connections of callers; without a bound all are served."""
+    """Count open connections of callers; without a limit all are served."""
 
     def __init__(self, max_open: int | None = None) -> None:
         self.max_open = max_open
@@ -26,11 +26,11 @@
 
     @property
     def share(self) -> float:
-        """Return the share of the bound that is in use."""
+        """Return the share of the limit that is in use."""
         return self.open / self.max_open if self.max_open else 0.0
 
     def admit(self) -> Admittance:
-        """Count a new connection and say what becomes of it."""
+        """Count a new connection and return what happens to it."""
         self.open += 1
         if self.max_open is None or self.open <= self.max_open:
             return Admittance.SERVED
@@ -38,7 +38,7 @@
         return Admittance.REFUSED if surplus <= MAX_SURPLUS_CONNECTIONS else Admittance.DROPPED
 
     def release(self) -> None:
-        """Forget a connection that has closed."""
+        """Stop counting a connection that was closed."""
         self.open -= 1
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/relay/callerprotocol.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/callerprotocol.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A caller's connection, under the configuration's limits."""
+"""Protocol of a caller's connection, with the configured limits."""
 
 import asyncio
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 class CallerProtocol(web.RequestHandler):
-    """Bound how long headers may be and may take, and how long a connection may rest."""
+    """Limit the size and the time of headers, and the idle time of a connection."""
 
     __slots__ = ("_admittance", "_body", "_bounded", "_headers_due", "_limits")
 
@@ -46,20 +46,20 @@
 
     @property
     def refused(self) -> bool:
-        """Tell whether what comes on this connection cannot be served here."""
+        """Return whether requests on this connection are refused."""
         return self._admittance is not Admittance.SERVED
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the connection; one that is far too many is dropped before it is read."""
+        """Count the connection; drop it unread if it is far over the limit."""
         self._admittance = self._bounded.admit()
         super().connection_made(transport)
         if self._admittance is Admittance.DROPPED and isinstance(transport, asyncio.Transport):
             transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; headers that they begin have to be whole in time.
+        """Process received bytes; headers that begin in them must be complete in time.
 
-        They may begin while the request before them is still answered.
+        They may begin while the previous request is still being answered.
         """
         requests_before = self._request_count
         in_headers = self._body.is_eof()
@@ -71,7 +71,7 @@
             self._start_header_timer()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Forget the connection."""
+        """Stop counting the connection."""
         self._cancel_header_timer()
         self._bounded.release()
         super().connection_lost(exc)
@@ -83,7 +83,7 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer what cannot be read as a request, without a line in the log for each."""
+        """Answer malformed requests without logging each of them."""
         if status == web.HTTPBadRequest.status_code:
             code = HEADERS_TOO_LARGE_STATUS if isinstance(exc, LineTooLong) else status
             answer = web.Response(status=code, text=f"{message or 'not a request'}\n")
@@ -104,7 +104,7 @@
     def _on_header_timeout(self) -> None:
         self._headers_due = None
         if self._request_in_progress or self._messages:
-            # The answers of whole requests go first.
+            # Answers to complete requests are sent first.
             self._start_header_timer()
             return
         if self.transport is not None:
--- a/packages/ochreway-direct/src/ochreway_direct/relay/callerserver.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/callerserver.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The server of callers' connections."""
+"""Server for callers' connections."""
 
 import asyncio
 from typing import Any
@@ -13,12 +13,12 @@
 
 
 class CallerServer(web.Server):
-    """Give each new connection the limits of the configuration in force then."""
+    """Apply the limits of the current configuration to each new connection."""
 
     def __init__(
         self, serving: Serving, relay: Relay, caller_connections: CallerConnections | None = None
     ) -> None:
-        """Serve the connections that ``bounded`` lets in; without it, all."""
+        """Serve the connections that ``caller_connections`` admits; without it, all."""
         super().__init__(
             relay.handle,
             request_factory=self._build_request,
--- a/packages/ochreway-direct/src/ochreway_direct/relay/calllog.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/calllog.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The lines that a log has of a request: what was decided, by what, and what became of it."""
+"""Log lines about requests: failed attempts, refusals and answers."""
 
 import asyncio
 
@@ -12,13 +12,14 @@
 from ochreway_runtime.logs import EventLog
 
 DURATION_DIGITS = 3
-"""Durations are written to the ms."""
+"""Durations are logged in seconds with this many decimals."""
 
 
 class CallLog:
-    """Write a line for each attempt that failed, and for how each request ended.
+    """Log failed attempts and the result of each request.
 
-    Failures and late answers have a budget of their own; of answers in time only some are written.
+    Failures and late answers have a line budget of their own; of answers in time only some are
+    logged.
     """
 
     def __init__(self, log: EventLog, serving: Serving) -> None:
@@ -27,7 +28,7 @@
         self._fleet: Fleet = serving.fleet
 
     def attempt_failed(self, call: Call, attempt: Attempt, ending: Ending, begun_s: float) -> None:
-        """Write how an attempt ended, and by what its place was chosen."""
+        """Log how an attempt ended, and the state by which its target was chosen."""
         now_s = asyncio.get_running_loop().time()
         self._log.failure(
             "attempt",
@@ -53,7 +54,7 @@
         )
 
     def refused(self, request: str, call: Call | None, refused: Refused) -> None:
-        """Write that a request was refused; without a call it was not admitted."""
+        """Log that a request was refused; ``call`` is None if it was not admitted."""
         now_s = asyncio.get_running_loop().time()
         fields: dict[str, object] = {
             "request": request,
@@ -71,13 +72,13 @@
         self._log.failure("refused", **fields)
 
     def broken(self, call: Call | None, request: str, broken: AnswerBroken) -> None:
-        """Write that an answer broke off after its caller was given a part of it."""
+        """Log that an answer broke off after a part of it was forwarded to the caller."""
         now_s = asyncio.get_running_loop().time()
         fields = self._call_fields(call, now_s) if call is not None else {}
         self._log.failure("broken", request=request, reason=broken.reason.value, **fields)
 
     def answered(self, call: Call, status: int) -> None:
-        """Write that a request was answered, and whether in time."""
+        """Log that a request was answered, and whether in time."""
         now_s = asyncio.get_running_loop().time()
         first_s = (call.first_part_s or now_s) - call.started_s
         late = first_s > call.route.objective_s
--- a/packages/ochreway-direct/src/ochreway_direct/relay/ending.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/ending.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How one attempt ended."""
+"""Result of one attempt."""
 
 from dataclasses import dataclass
 
@@ -11,10 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Ending:
-    """Hold an attempt's outcome, its reason, and the response when it was answered.
+    """Hold an attempt's outcome, its reason, and the response if it was answered.
 
-    ``broke`` tells that the target could not be reached, fell silent or broke off, which the loss
-    of any member of its group would explain; ``cut`` that its connection ended under the answer.
+    Attributes:
+        failed: whether the attempt counts against the health of its target.
+        lost_contact: whether the target could not be reached, fell silent or closed the
+            connection, which the loss of any member of its group would explain.
+        disconnected: whether the connection ended before the answer was complete.
     """
 
     outcome: Outcome
@@ -26,7 +29,7 @@
 
     @classmethod
     def answered(cls, response: web.StreamResponse, failed: bool = False) -> "Ending":
-        """Return the ending of an attempt that was answered."""
+        """Return the result of an attempt that was answered."""
         return cls(Outcome.ANSWERED, Reason.NONE, response, failed=failed)
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/relay/errors.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/errors.py
@@ -16,7 +16,7 @@
 
 
 class AnswerBroken(OchrewayError):
-    """An answer broke off after a part of it was passed on, so the connection has to end."""
+    """An answer broke off after a part of it was forwarded, so the connection must be closed."""
 
     def __init__(self, reason: Reason) -> None:
         super().__init__(reason.value)
@@ -24,7 +24,7 @@
 
 
 class CallerGone(OchrewayError):
-    """The caller does not take the answer any more."""
+    """The caller no longer accepts the answer."""
 
 
 __all__ = ["AnswerBroken", "CallerGone", "Refused"]
--- a/packages/ochreway-direct/src/ochreway_direct/relay/eventsplitter.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/eventsplitter.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Cutting a stream of bytes into whole server-sent events."""
+"""Splitting a byte stream into complete server-sent events."""
 
 import re
 
@@ -8,14 +8,14 @@
 
 
 class EventSplitter:
-    """Hold back an event that is not whole, and remember the last whole one's id."""
+    """Hold back an incomplete event, and remember the id of the last complete one."""
 
     def __init__(self) -> None:
         self._incomplete = b""
         self.last_id: str | None = None
 
     def feed(self, piece: bytes) -> bytes:
-        """Return the whole events that a piece completes."""
+        """Return the events that are complete after another piece of the stream."""
         content = self._incomplete + piece if self._incomplete else piece
         end = 0
         for match in _EVENT_END.finditer(content):
@@ -31,7 +31,7 @@
             self.last_id = ids[-1].decode("latin-1")
 
     def incomplete(self) -> bytes:
-        """Return what is held back."""
+        """Return the incomplete event that is held back."""
         return self._incomplete
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/relay/exchange.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/exchange.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One exchange with a target: a call goes out, its answer comes back to the caller."""
+"""Sending a call to a target and forwarding its answer to the caller."""
 
 import asyncio
 import contextlib
@@ -26,17 +26,17 @@
 SUPPRESSED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 HEADERS_OVERHEAD_BYTES = 500
-"""About what the headers of a request or of an answer take."""
+"""Approximate size of the headers of a request or an answer."""
 EVENT_OVERHEAD_BYTES = 60
-"""About what the chunk and the packet of an event take beside it."""
+"""Approximate overhead of the chunk and the packet that carry an event."""
 CONNECTION_ERRORS = (aiohttp.ClientError, OSError, ValueError)
 
 
 class Exchange:
-    """Send calls to targets and pass their answers on.
+    """Send calls to targets and forward their answers.
 
-    What may not be repeated goes over a connection of its own, as a kept one may be closed
-    under it, of which nobody then knows whether it ran.
+    A call that may not be repeated gets a new connection. A kept one may be closed by the target
+    while the request is written, and then it is unknown whether the request ran.
     """
 
     def __init__(
@@ -57,10 +57,10 @@
         self._notices = notices
 
     async def send(self, call: Call, attempt: Attempt) -> Ending:
-        """Send a call under a time bound that is moved as the answer comes in.
+        """Send a call with a timeout that is extended as the answer arrives.
 
         Raises:
-            CallerGone: when the caller does not take the answer any more.
+            CallerGone: if the caller no longer accepts the answer.
         """
         loop = asyncio.get_running_loop()
         try:
@@ -85,7 +85,7 @@
             )
 
     def _first_answer_deadline_s(self, call: Call, now_s: float) -> float:
-        """Return until when a first answer is waited for: less when another place may give one."""
+        """Return until when to wait for a first answer: shorter if another target may answer."""
         route, tuning = call.route, self._tuning
         if not call.last_run and self._has_alternative(call):
             patience_s = tuning.first_answer_objectives * route.objective_s
@@ -125,14 +125,17 @@
             return await self._forward_body(call, response)
 
     def _record_notice(self, call: Call, attempt: Attempt, head: AnswerHead) -> None:
-        """Take what an answer says of its target, if it is this request's and that target's."""
+        """Record the target's notice; only its own answer to this request may end a limit."""
         if head.own and head.request == call.terms.request:
             self._notices.answered(attempt.instance, head.notice, attempt.born_ms)
         else:
             self._notices.heard(attempt.instance, head.notice, attempt.born_ms)
 
     def _rejection(self, head: AnswerHead) -> Ending:
-        """Return the ending of a request that was not run; one that names a time did not fail."""
+        """Return the result of a request that was not run.
+
+        A target that names a backoff time did not fail.
+        """
         if head.notice.backoff_s is not None:
             return Ending(Outcome.NOT_RUN, Reason.BACKOFF, failed=False)
         return Ending(Outcome.NOT_RUN, Reason.QUEUE_FULL)
@@ -140,7 +143,7 @@
     def _mismatch(
         self, call: Call, response: aiohttp.ClientResponse, head: AnswerHead
     ) -> Ending | None:
-        """Return the ending of an answer that cannot be this request's own."""
+        """Return a failure if the answer cannot belong to this request."""
         foreign = head.request != call.terms.request or head.encoded
         unsigned = response.status < 300 and not head.signed
         if foreign or unsigned:
@@ -206,7 +209,7 @@
             self._fleet.heard(attempt, now_s)
             attempt.extend(min(call.end_s, now_s + pause_s))
             if events:
-                # Noted first: a write that is cancelled may have been passed on all the same.
+                # Recorded first: a cancelled write may have reached the caller all the same.
                 call.resume_after = splitter.last_id or call.resume_after
                 await self._forward_events(call, response, events)
                 call.last_forwarded_s = now_s
--- a/packages/ochreway-direct/src/ochreway_direct/relay/idlelimits.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/idlelimits.py
@@ -1,18 +1,18 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How many idle connections to targets may rest."""
+"""Limits on the number of idle connections to targets."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class IdleLimits:
-    """Bound resting connections, in all and at one target; ``None``: any number."""
+    """Limit idle connections in total and per target; ``None`` means no limit."""
 
     max_total: int | None = None
     max_per_target: int | None = None
 
     def allow(self, total: int, per_target: int) -> bool:
-        """Tell whether one more may rest beside those that do."""
+        """Return whether one more connection may be kept idle beside those that are."""
         return _below(total, self.max_total) and _below(per_target, self.max_per_target)
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/relay/keepalive.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/keepalive.py
@@ -6,15 +6,15 @@
 DEFAULT_KEEP_ALIVE_S = 3.0
 """For a target that does not say how long it keeps idle connections."""
 MAX_KEEP_ALIVE_S = 15.0
-"""No longer, whatever a target says: one that lost its power meanwhile answers nothing."""
+"""Upper bound whatever a target announces: one that lost power meanwhile does not answer."""
 TRUSTED_SHARE = 0.8
-"""The share of the announced time; the rest is for the way of a request, and for clocks."""
+"""Fraction of the announced time that is used; the rest covers latency and clock drift."""
 
 _TIMEOUT = re.compile(r"(?:^|[,;\s])timeout\s*=\s*(\d{1,6})(?:$|[,;\s])", re.IGNORECASE)
 
 
 def keep_alive_s(keep_alive: str | None) -> float:
-    """Return for how long a connection may rest after an answer with this ``Keep-Alive``."""
+    """Return how long a connection may stay idle after an answer with this ``Keep-Alive``."""
     match = _TIMEOUT.search(keep_alive) if keep_alive else None
     if match is None:
         return DEFAULT_KEEP_ALIVE_S
--- a/packages/ochreway-direct/src/ochreway_direct/relay/refusal.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/refusal.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How a call that is given up on ends."""
+"""Error for a call that is given up."""
 
 from ochreway_core.reason import Reason
 from ochreway_direct.relay.call import Call
@@ -11,7 +11,7 @@
 
 
 def refusal_of(call: Call, reason: Reason, retry_after_s: float) -> Refused | AnswerBroken:
-    """Return how to end a call that is given up on, by what may have become of it."""
+    """Return the error for a call that is given up, depending on whether it may have run."""
     if call.answer is not None:
         return AnswerBroken(reason)
     if not call.runs:
--- a/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The way of a request: admitted, sent, sent again where that is allowed, answered."""
+"""Relay of requests: admission, sending, retries and answers."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 
 class Relay:
-    """Answer callers' requests from targets."""
+    """Relay callers' requests to targets."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         log: EventLog,
         metrics: Metrics,
     ) -> None:
-        """Start with the parts given; ``suspect`` is told of a group whose leader broke off."""
+        """Create a relay; ``suspect`` is called with each group whose leader lost contact."""
         self._serving = serving
         self._fleet = serving.fleet
         self._dialect = dialect
@@ -110,7 +110,7 @@
         left_s = call.left_s(asyncio.get_running_loop().time())
         return refusal_of(call, reason, min(after_s, self._tuning.retry_after_share * left_s))
 
-    # Sending.
+    # Sending
 
     async def _run(self, call: Call) -> web.StreamResponse:
         """Send a call until it is answered or may not be sent again."""
@@ -134,10 +134,10 @@
             self._metrics.count(f"retry.{ending.reason.value}")
 
     def _check_fatal(self, call: Call) -> None:
-        """Raise if targets ended under what a call asks for, so that it is sent no more.
+        """Raise if a call is known to end its targets, so that it is not sent any more.
 
-        A caller who has had no part is told how long that is certain to last: so long no try
-        will be served, at any entry.
+        If the caller has not received any part, the refusal names how long this certainly
+        lasts: until then no entry will serve a retry.
         """
         left_s = self._crashes.fatal_for_s(call)
         if left_s <= 0.0:
@@ -147,7 +147,7 @@
         raise Refused(NOT_RUN_STATUS, Reason.ENDS_TARGETS, left_s)
 
     async def _check_retry(self, call: Call, ending: Ending) -> None:
-        """Raise unless the call may be sent once more."""
+        """Raise unless the call may be sent again."""
         now_s = asyncio.get_running_loop().time()
         left_s = call.left_s(now_s)
         ran = ending.outcome is Outcome.UNKNOWN
@@ -166,13 +166,13 @@
         raise self._give_up(call, reason, self._tuning.retry_after_s)
 
     async def _choose_candidate(self, call: Call) -> Attempt:
-        """Choose where to send a call, waiting a little while nothing can take it."""
+        """Choose where to send a call, waiting briefly while no target can take it."""
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
         until_s = min(begun_s + self._max_wait_s(call), call.end_s)
         while True:
-            # One time for all of a look: a place that is free a moment later would else be taken
-            # for one that is full.
+            # One time for the whole check: otherwise a target that becomes free during it would
+            # be reported as full.
             now_s = loop.time()
             chosen = self._pick_candidate(call, now_s)
             if chosen is not None:
@@ -186,11 +186,11 @@
             await asyncio.sleep(self._tuning.candidate_poll_interval_s)
 
     def _no_candidate_error(self, call: Call, now_s: float) -> Refused | AnswerBroken:
-        """Return how to end a call that found no place, by what would have to change."""
+        """Return the error for a call that no target can take, by what would have to change."""
         model, after_s = call.terms.model, self._tuning.retry_after_regroup_s
         requested_wait_s = self._requested_wait_s(call, now_s)
         if requested_wait_s > 0.0:
-            # The whole time: told less, a caller would come back to be refused once more.
+            # The full time: after a shorter one the caller would only be refused again.
             return refusal_of(call, self._wait_reason(call, now_s), requested_wait_s)
         wait_s = self._fleet.send_wait_s(call.service, model, call.allowed_halls, now_s)
         if wait_s > 0.0:
@@ -199,11 +199,11 @@
         return self._give_up(call, Reason.QUEUE_FULL if full else Reason.NO_GROUP, after_s)
 
     def _requested_wait_s(self, call: Call, now_s: float) -> float:
-        """Return how soon the first place takes requests again; 0 if one does, or there is none."""
+        """Return how soon a target takes requests again; 0 if one does now, or there is none."""
         return self._fleet.asked_wait_s(call.service, call.terms.model, call.allowed_halls, now_s)
 
     def _wait_reason(self, call: Call, now_s: float) -> Reason:
-        """Return what places asked for that take no request now."""
+        """Return why targets take no request now: all back off, or limits are used up."""
         service, model = call.service, call.terms.model
         all_backed_off_now = self._fleet.all_backed_off(service, model, call.allowed_halls, now_s)
         return Reason.BACKOFF if all_backed_off_now else Reason.TARGET_LIMIT
@@ -259,7 +259,7 @@
         )
 
     async def _key_still_valid(self) -> bool:
-        """Tell whether the key that a call was admitted by may still be trusted."""
+        """Return whether the key that a call was admitted with may still be trusted."""
         version = self._serving.version
         return await self._serving.keys_proved() and self._serving.version == version
 
--- a/packages/ochreway-direct/src/ochreway_direct/relay/sendguard.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/sendguard.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Asking once more, when a connection is there, whether a request may still be sent."""
+"""Check, once a connection is open, that a request may still be sent."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -14,7 +14,7 @@
 
 
 class SendWithheld(OchrewayError):
-    """The target may not be sent to any more, and was sent nothing."""
+    """The target must not be sent requests any more, and nothing was sent."""
 
 
 _guard: ContextVar[MaySend | None] = ContextVar("send_guard", default=None)
@@ -22,7 +22,7 @@
 
 @contextmanager
 def send_guard(may_send: MaySend) -> Iterator[None]:
-    """Guard the requests that the current task sends meanwhile."""
+    """Guard the requests that the current task sends within the context."""
     token = _guard.set(may_send)
     try:
         yield
@@ -31,21 +31,21 @@
 
 
 class GuardedRequest(aiohttp.ClientRequest):
-    """Send nothing over a connection that has come too late.
+    """Send nothing if the target started to back off while the connection was being made.
 
-    One takes 0.6 s at the most, and a busy process may come back to it later still. In that time
-    the target may have told others of this entry's callers to stay away.
+    Connecting takes up to 0.6 s, and a busy process may resume even later. Meanwhile the target may
+    have asked for a backoff in its answer to another request of this entry.
     """
 
     async def send(self, conn: Connection) -> aiohttp.ClientResponse:
         """Write the request if its guard allows it.
 
         Raises:
-            SendWithheld: when it does not.
+            SendWithheld: if the guard does not allow it.
         """
         may_send = _guard.get()
         if may_send is not None and not may_send():
-            raise SendWithheld("the target asked to be left alone meanwhile")
+            raise SendWithheld("target asked for a backoff while the connection was being made")
         return await super().send(conn)
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/relay/sendtrace.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/sendtrace.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Noting when a request was written to its target's connection."""
+"""Trace that records when a request was written to its target's connection."""
 
 import asyncio
 from types import SimpleNamespace
@@ -12,7 +12,7 @@
 
 
 def send_trace() -> aiohttp.TraceConfig:
-    """Return a trace for sessions whose requests carry their attempt as context."""
+    """Return a trace for sessions whose requests carry their attempt as trace context."""
     trace = aiohttp.TraceConfig()
     trace.on_request_headers_sent.append(_record_written)
     trace.on_request_chunk_sent.append(_record_written)
--- a/packages/ochreway-direct/src/ochreway_direct/relay/targetconnections.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/targetconnections.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Figures of the connections to targets."""
+"""Gauges of the connections to targets."""
 
 from collections.abc import Sequence
 
@@ -12,7 +12,7 @@
 
 
 class TargetConnections:
-    """Say how many connections to targets are open and how many a request needed."""
+    """Report how many connections to targets are open and how many a request needed."""
 
     def __init__(
         self, connectors: Sequence[TargetConnector], metrics: Metrics, relay: Relay
@@ -22,7 +22,7 @@
         self._relay = relay
 
     def gauges(self) -> dict[str, float]:
-        """Return the figures for an operator's page."""
+        """Return the gauges for the metrics page."""
         opened = sum(self._metrics.counters.get(name, 0) for name in OPENED_COUNTERS)
         return {
             "target_connections": float(sum(connector.open for connector in self._connectors)),
--- a/packages/ochreway-direct/src/ochreway_direct/relay/targetprotocol.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/targetprotocol.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Kept connections to targets that never confuse one answer with another."""
+"""Connections to targets that are reused without mixing up answers."""
 
 import functools
 import socket
@@ -19,30 +19,30 @@
 from ochreway_runtime import steadyclock
 
 UNACKNOWLEDGED_TIMEOUT_MS = 2000
-"""After how long without an acknowledgement the kernel gives a connection to a target up."""
+"""Time without an acknowledgement after which the kernel closes a target connection."""
 
 
 class TargetProtocol(ResponseHandler):
-    """Fail an answer without a length that ends in a reset; it may not be whole."""
+    """Fail an answer without a length that ends in a reset, as it may be incomplete."""
 
     _keep_alive_s = DEFAULT_KEEP_ALIVE_S
     _reusable_until_s = 0.0
 
     def feed_data(self, data: tuple[RawResponseMessage, StreamReader], size: int = 0) -> None:
-        """Take the head of an answer; it may say how long the connection may rest after it."""
+        """Read an answer's headers; ``Keep-Alive`` says how long the connection may be idle."""
         self._keep_alive_s = keep_alive_s(data[0].headers.get("Keep-Alive"))
         super().feed_data(data, size)
 
     def start_idle(self, now_s: float) -> None:
-        """Begin to rest."""
+        """Mark the connection as idle from now on."""
         self._reusable_until_s = now_s + self._keep_alive_s
 
     def is_reusable(self, now_s: float) -> bool:
-        """Tell whether a resting connection may take a request."""
+        """Return whether the idle connection may be used for a request."""
         return not self.should_close and now_s <= self._reusable_until_s
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Break the answer under way before the parser can take the end for its own."""
+        """Fail the answer under way before the parser can take a reset for its regular end."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
             payload.set_exception(aiohttp.ClientPayloadError(f"connection lost: {exc}"))
@@ -50,7 +50,7 @@
 
 
 class TargetConnector(aiohttp.TCPConnector):
-    """Reuse a connection only if nothing came on it after the last whole answer."""
+    """Reuse a connection only if nothing was received after the last complete answer."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         idle_limits: IdleLimits | None = None,
         keep_alive: bool = True,
     ) -> None:
-        """Keep idle connections within bounds, or none at all; ``opened`` is told of new ones."""
+        """Keep idle connections within limits, or none; call ``on_opened`` for each new one."""
         reuse_options = (
             {"keepalive_timeout": MAX_KEEP_ALIVE_S} if keep_alive else {"force_close": True}
         )
@@ -77,7 +77,7 @@
 
     @property
     def idle(self) -> int:
-        """Return how many connections rest."""
+        """Return how many connections are idle."""
         return sum(len(pairs) for pairs in self._conns.values())
 
     @property
@@ -106,7 +106,7 @@
         return self._idle_limits.allow(self.idle, len(self._conns.get(key, ())))
 
     def _close_unusable(self) -> None:
-        """Close connections that rested too long; the library does so each 15 s only."""
+        """Close connections that were idle too long; the library does so only every 15 s."""
         now_s = steadyclock.now_s()
         for key, idle in list(self._conns.items()):
             for pair in [each for each in idle if not _usable_at(each[0], now_s)]:
--- a/packages/ochreway-direct/src/ochreway_direct/relay/targetsession.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/targetsession.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Sessions over which requests go to targets."""
+"""Client sessions for requests to targets."""
 
 import aiohttp
 from aiohttp.client_middlewares import ClientHandlerType
@@ -9,13 +9,13 @@
 from ochreway_direct.relay.targetprotocol import TargetConnector
 
 MAX_HEADER_LINE_BYTES = 16 * 1024
-"""How long a header line of a target's answer may be."""
+"""Limit on a header line of a target's answer."""
 CONNECT_TIMEOUT_S = 0.6
-"""How long a connection may take: a lost opening packet is sent again after seconds only."""
+"""Limit on connecting: a lost SYN is only sent again after seconds."""
 
 
 def target_session(connector: TargetConnector) -> aiohttp.ClientSession:
-    """Return a session that sends each request once and passes answers on as they are."""
+    """Return a session that sends each request once and leaves answers unchanged."""
     return aiohttp.ClientSession(
         connector=connector,
         request_class=GuardedRequest,
@@ -32,10 +32,11 @@
 async def _send_once(
     request: aiohttp.ClientRequest, send: ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Keep the library from sending a request again by itself.
+    """Prevent the client library from retrying a request by itself.
 
-    It does so for methods such as PUT and GET when a connection breaks, also if the target has
-    begun: what may run once would run twice, or be called not run if the second send fails.
+    aiohttp resends idempotent methods such as PUT and GET when a connection breaks, even if the
+    target has begun. A request that may run only once would run twice, or be reported as not run
+    if the second send failed.
     """
     try:
         return await send(request)
--- a/packages/ochreway-direct/src/ochreway_direct/relay/tuning.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/tuning.py
@@ -1,18 +1,18 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The bounds that the relay works under."""
+"""Tuning parameters of the relay."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class RelayTuning:
-    """Hold durations, shares of an objective and the retry budget.
+    """Hold timeouts, limits and shares of a route's objective.
 
-    A call waits for a place for ``patience_share`` of its objective and is then refused with
-    the time after which a group is expected to serve again, at most ``retry_after_share`` of
-    what the caller has left. An answer that has begun may queue where new calls may not, as it
-    cannot be refused. A caller gives a stream up that is silent for the longest of the
-    three ``caller_silence`` bounds.
+    A call waits for a target for ``max_wait_share`` of its objective. It is then refused with the
+    time after which a group is expected to serve again, at most ``retry_after_share`` of the time
+    that the caller has left. A call whose answer has begun may queue (``max_queued_resuming``)
+    where new calls may not, as it cannot be refused. Callers give up a stream that is silent for
+    the longest of the three ``caller_silence`` bounds.
     """
 
     max_extra_sends: int = 2
--- a/tests/direct/relaycase.py
+++ b/tests/direct/relaycase.py
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True)
 class Target:
-    """Run one script for each request that comes."""
+    """A target that runs its script for each request."""
 
     name: str
     script: Script
@@ -95,7 +95,7 @@
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     def reset(self) -> None:
-        """Reset every connection, as a link that lost its state does."""
+        """Reset every connection, as a network device that lost its connection state does."""
         for writer in self.writers:
             connection = writer.transport.get_extra_info("socket")
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -165,7 +165,7 @@
 
 
 class RunningRelay:
-    """Hold the relay, its targets in the order in which they are preferred, and a caller."""
+    """Hold the relay, its targets in order of preference, and a caller."""
 
     def __init__(
         self,
@@ -214,7 +214,7 @@
         self.caller = aiohttp.ClientSession()
 
     def list_targets(self) -> None:
-        """Show every target both as the leader of a group and as a plain target."""
+        """List every target both as the leader of a group and as a plain target."""
         groups, plain = [], []
         for number, target in enumerate(self.targets):
             instance = InstanceId(target.name)
@@ -238,7 +238,7 @@
             target.server.close()
 
     async def send_raw(self, *parts: bytes) -> bytes:
-        """Send bytes over a connection of their own; return all that comes until it closes."""
+        """Send bytes over a new connection; return all that is received until it closes."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         for part in parts:
             writer.write(part)
--- a/tests/direct/test_backoff.py
+++ b/tests/direct/test_backoff.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Where requests, orders and questions go while targets have asked to be left alone."""
+"""Requests, orders and state queries while targets have asked for a backoff."""
 
 import asyncio
 
@@ -77,7 +77,7 @@
 
     def test_a_request_is_not_written_if_the_target_backed_off_while_connecting(self) -> None:
         async def work(running: RunningRelay) -> None:
-            # As if the target had asked for time while the connection was being made.
+            # As if the target had asked for a backoff while the connection was being made.
             running.fleet._backoffs = Backoffs()
             now_s = asyncio.get_running_loop().time()
             running.backoffs.take("t0", TargetNotice(RETRY_AFTER_S), now_s)
@@ -93,7 +93,7 @@
 
 
 class BusyEngines(EngineControl):
-    """Turn questions and orders away, and count them."""
+    """Reject state queries and orders, and count them."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -134,7 +134,7 @@
     def run_two_rounds(
         self, next_born_ms: int | None, listening: bool = True
     ) -> tuple[int, bool, bool]:
-        """Ask and order twice; return how often it was reached, and how it is known then."""
+        """Query twice and order once; return the calls that reached the engine and its state."""
 
         async def work() -> tuple[int, bool, bool]:
             server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
--- a/tests/direct/test_exchange.py
+++ b/tests/direct/test_exchange.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The pattern: a group loses a member, and the engine that could replace it serves in another.
+"""Exchange of members between groups of different models.
 
-The other group could do without it, as a free engine has the other model's weights. On a day with
-an engine lost every three seconds five engines waited so for 2 to 12 s each time.
+A group loses a member, and the engine that could replace it serves in another group, which could
+use a free engine instead. On a day with an engine lost every three seconds, five engines stayed
+idle because of this for 2 to 12 s each time.
 """
 
 import testtools
@@ -13,13 +14,13 @@
 
 NEAR, FAR = DomainId("near"), DomainId("far")
 OFFERED = {LARGE.name: 3.0, SMALL.name: 1.5}
-"""Work for two large groups and one small one."""
+"""Demand for two large groups and one small one."""
 NO_LOADS = CoordinatorTuning(loading_share=0.0)
 
 
 class ExchangeTests(testtools.TestCase):
     def world(self, far: int) -> EngineWorld:
-        """Return groups of both models near, and as many large ones far as are asked for."""
+        """Return a world with groups of both models near, and ``far`` large groups far away."""
         world = EngineWorld(domains=0, tuning=NO_LOADS)
         world.coordinator.demand.offered = dict(OFFERED)
         for staged in (LARGE,) * 5 + (SMALL,) * 2:
--- a/tests/direct/test_limits.py
+++ b/tests/direct/test_limits.py
@@ -17,7 +17,7 @@
     )
 
     def check_refused(self, content: bytes, status: bytes) -> None:
-        """Check the answer to bytes that are no good request, and that the entry serves on."""
+        """Check the answer to an invalid request, and that the entry continues to serve."""
 
         async def work(running: RunningRelay) -> None:
             answer = await running.send_raw(content)
--- a/tests/direct/test_placewait.py
+++ b/tests/direct/test_placewait.py
@@ -6,7 +6,7 @@
 from tests.direct.relaycase import RelayCase, RunningRelay, complete_response
 
 CLOCK_STEP_S = 0.03
-"""How much time passes between any two looks at the clock, as on an instance that is very busy."""
+"""Time that passes between two readings of the clock, as on a very busy instance."""
 REQUESTS = 60
 
 
@@ -14,7 +14,10 @@
     kind = RouteKind.SAFE
 
     def test_a_target_that_frees_during_the_last_check_is_not_reported_as_full(self) -> None:
-        """Guards against callers told of a full queue where a target had asked to be left alone."""
+        """Guards against refusals that name a full queue while targets back off.
+
+        It happened when the clock advanced while the relay checked its targets.
+        """
 
         async def answer(headers: dict[str, str], writer: asyncio.StreamWriter) -> None:
             writer.write(complete_response(headers, "ok"))
--- a/tests/direct/test_relay.py
+++ b/tests/direct/test_relay.py
@@ -386,7 +386,7 @@
             pending = asyncio.ensure_future(running.send_request())
             while not running.targets[0].seen:
                 await asyncio.sleep(0.01)
-            # Keys grow too old while the stream runs, so it may not be sent again.
+            # Keys become too old while the stream runs, so the call may not be sent again.
             running.serving.freshness.bound_s = -1.0
             answer = await pending
             self.assertTrue(answer.broken)
--- a/tests/direct/test_resets.py
+++ b/tests/direct/test_resets.py
@@ -23,7 +23,7 @@
 
 
 class Gate:
-    """Have targets begin what they are sent, and answer once they are let."""
+    """Let targets begin their requests, and answer them once the gate is open."""
 
     def __init__(self) -> None:
         self.open = False
