--- a/packages/ochreway-direct/src/ochreway_direct/entries/elsewhere.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/elsewhere.py
@@ -65,7 +65,7 @@
         if known and known.source != sender and now_s - known.heard_s < SOURCE_TRUSTED_S:
             return
         self._reports[key] = _Report(sender, coverage, now_s, work)
-        self._fleet.set_elsewhere(key, work.under_way, work.unread)
+        self._fleet.set_remote_work(key, work.under_way, work.unread)
         others = self._reports.keys() - {key}
         self._drop_all(others if coverage is Coverage.REST else {REST_KEY})
         if coverage is not Coverage.REST:
@@ -83,7 +83,7 @@
     def _drop_all(self, keys: set[str]) -> None:
         for key in keys & self._reports.keys():
             del self._reports[key]
-            self._fleet.forget_elsewhere(key)
+            self._fleet.drop_remote_work(key)
 
     @property
     def adds_up(self) -> bool:
--- a/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
@@ -332,15 +332,15 @@
     def _compare_views(self, sender: Peer, heartbeat: Heartbeat, now_s: float) -> None:
         """Go on with a view that others stand by, and ask for one that is newer."""
         mark = aged(heartbeat.fleet, _delay_s(heartbeat, now_s))
-        if self._awaited is not None and not self._view.older_than(self._awaited):
+        if self._awaited is not None and not self._view.is_older_than(self._awaited):
             self._awaited = None
-        if not self._view.older_than(mark):
+        if not self._view.is_older_than(mark):
             if not self._lease.held and self._view.confirm(mark, now_s):
                 self._listed()
             return
         if self._awaited is None:
             self._awaited = mark
-            self._view_due_s = now_s + (VIEW_HEAD_START_S if self._view.known else 0.0)
+            self._view_due_s = now_s + (VIEW_HEAD_START_S if self._view.has_update else 0.0)
         if now_s >= self._view_due_s:
             self._view_due_s = now_s + ASKED_AGAIN_S
             self._links.send(sender, FleetRequest())
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleet.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleet.py
@@ -8,7 +8,7 @@
 from ochreway_core.ids import GroupId, HallId, InstanceId
 from ochreway_direct.configuration import EngineSpec
 from ochreway_direct.fleets.groupview import GroupView
-from ochreway_direct.fleets.placecounts import PlaceCounts
+from ochreway_direct.fleets.remotecounts import RemoteCounts
 from ochreway_direct.fleets.targethealth import TargetHealth
 from ochreway_direct.ids import ModelName, ServiceName
 from ochreway_direct.lists.listedtarget import ListedTarget
@@ -27,9 +27,9 @@
 ``python -m ochreway_standins.choicebench``: 36 entries, 38 groups, first part p99 0.28 s among
 all, 0.16 among two, 0.12 among three, 0.14 among five.
 """
-FAST_PACE = 1.5
+FAST_PACE_FACTOR = 1.5
 """By how much slower than the fastest a group may be to be drawn like it."""
-FIRST_ANSWER_S = 0.4
+FIRST_ANSWER_TIMEOUT_S = 0.4
 """How long a group that answers nobody yet may take for a first answer before it looks silent."""
 FIRST_TOKENS = 10
 """How many tokens of an answer a place is chosen for: the first few events.
@@ -52,9 +52,9 @@
     def __init__(
         self,
         hall: HallId,
-        chance: random.Random,
+        rng: random.Random,
         counts_unread: bool = True,
-        sampled: int | None = None,
+        sample_size: int | None = None,
         limit: SendLimit | None = None,
         backoffs: Backoffs | None = None,
         gate: LimitGate | None = None,
@@ -65,10 +65,10 @@
         asked to get nothing for a while, or for good, and ``gate`` which named a limit.
         """
         self._hall = hall
-        self.shown = NO_VIEW
-        self._chance = chance
+        self.view_name = NO_VIEW
+        self._rng = rng
         self._counts_unread = counts_unread
-        self._sampled = sampled
+        self._sample_size = sample_size
         self._groups: dict[GroupId, GroupView] = {}
         self._by_service: dict[ServiceName, list[GroupView]] = {}
         self._targets: dict[InstanceId, ListedTarget] = {}
@@ -79,15 +79,15 @@
         self._gate = gate
         self._under_way: dict[str, set[Attempt]] = defaultdict(set)
         self._unread: Counter[str] = Counter()
-        self._elsewhere = PlaceCounts()
-        self._unread_elsewhere = PlaceCounts()
+        self._remote_load = RemoteCounts()
+        self._remote_unread = RemoteCounts()
         self._health: dict[InstanceId, TargetHealth] = defaultdict(TargetHealth)
 
     # What is learned.
 
-    def set_groups(self, groups: Iterable[GroupView], shown: str = NO_VIEW) -> None:
+    def set_groups(self, groups: Iterable[GroupView], view_name: str = NO_VIEW) -> None:
         """Replace the groups that serve, as a view named for the log shows them."""
-        self.shown = shown
+        self.view_name = view_name
         self._groups = {each.group: each for each in groups}
         self._by_service = defaultdict(list)
         for group in self._groups.values():
@@ -110,17 +110,17 @@
         """Replace the halls that get nothing new."""
         self._closed_halls = halls
 
-    def set_elsewhere(
+    def set_remote_work(
         self, source: str, counts: Mapping[str, int], unread: Mapping[str, int] | None = None
     ) -> None:
         """Take what a source says is under way elsewhere, and the prompt tokens not read yet."""
-        self._elsewhere.put(source, counts)
-        self._unread_elsewhere.put(source, unread or {})
+        self._remote_load.set_report(source, counts)
+        self._remote_unread.set_report(source, unread or {})
 
-    def forget_elsewhere(self, source: str) -> None:
+    def drop_remote_work(self, source: str) -> None:
         """Drop what a source said."""
-        self._elsewhere.drop(source)
-        self._unread_elsewhere.drop(source)
+        self._remote_load.drop_report(source)
+        self._remote_unread.drop_report(source)
 
     # What is asked.
 
@@ -130,9 +130,11 @@
 
     def under_way(self) -> Counter[str]:
         """Return how many attempts run at each place."""
-        return Counter({place: len(each) for place, each in self._under_way.items() if each})
+        return Counter(
+            {target_id: len(each) for target_id, each in self._under_way.items() if each}
+        )
 
-    def places(
+    def eligible_groups(
         self,
         service: ServiceName,
         model: ModelName | None,
@@ -146,14 +148,14 @@
             if (model is None or each.model == model)
             and each.leader not in self._leaving
             and not self._backoffs.leaving(each.leader, each.born_ms)
-            and (anywhere or self._in_reach(halls_of(each), within))
+            and (anywhere or self._halls_allowed(halls_of(each), within))
         ]
 
-    def _in_reach(self, halls: frozenset[HallId], within: frozenset[HallId] | None) -> bool:
+    def _halls_allowed(self, halls: frozenset[HallId], within: frozenset[HallId] | None) -> bool:
         """Tell whether all of some halls may be sent to."""
         return not halls & self._closed_halls and (within is None or halls <= within)
 
-    def all_closed(
+    def all_halls_closed(
         self,
         service: ServiceName,
         model: ModelName | None,
@@ -162,14 +164,16 @@
         """Tell whether there are places for a model, all of them in halls that are closed."""
         if not self._closed_halls:
             return False
-        needed = [
+        group_halls = [
             halls_of(each)
             for each in self._by_service.get(service, ())
             if model is None or each.model == model
         ]
-        needed += [frozenset((t.hall,)) for t in self._targets.values() if t.service == service]
-        reached = [halls for halls in needed if within is None or halls <= within]
-        return bool(reached) and all(halls & self._closed_halls for halls in reached)
+        group_halls += [
+            frozenset((t.hall,)) for t in self._targets.values() if t.service == service
+        ]
+        allowed = [halls for halls in group_halls if within is None or halls <= within]
+        return bool(allowed) and all(halls & self._closed_halls for halls in allowed)
 
     def has_group(
         self,
@@ -178,18 +182,18 @@
         within: frozenset[HallId] | None = None,
     ) -> bool:
         """Tell whether any group serves a model."""
-        return bool(self.places(service, model, within))
+        return bool(self.eligible_groups(service, model, within))
 
     def silent_groups(self, now_s: float, silent_s: float) -> list[GroupId]:
         """Return the groups where answers are awaited and none has begun or gone on for a while."""
         silent = []
         for group in self._groups:
             running = self._under_way.get(group)
-            if running and now_s - _last_sign_s(running) > silent_s:
+            if running and now_s - _last_progress_s(running) > silent_s:
                 silent.append(group)
         return silent
 
-    def has_engines(self, service: ServiceName) -> bool:
+    def has_serving_group(self, service: ServiceName) -> bool:
         """Tell whether any group of a service serves."""
         return bool(self._by_service.get(service))
 
@@ -199,7 +203,7 @@
         model: ModelName | None,
         avoid: Collection[InstanceId],
         spec: EngineSpec,
-        queued_at_most: int,
+        max_queued: int,
         prompt_tokens: int = 0,
         within: frozenset[HallId] | None = None,
         now_s: float = 0.0,
@@ -208,26 +212,26 @@
 
         So many requests may wait at a group beside those in its slots.
         """
-        found = [
+        candidates = [
             each
-            for each in self.places(service, model, within)
+            for each in self.eligible_groups(service, model, within)
             if each.leader not in avoid
-            and self.load(each.group) < spec.slots + queued_at_most
-            and not self._asked_s(each.leader, each.born_ms, now_s)
+            and self.load(each.group) < spec.slots + max_queued
+            and not self._requested_wait_s(each.leader, each.born_ms, now_s)
             and self._limit.allows(service, each.leader, now_s)
         ]
-        drawn = self._draw(found)
+        choices = self._sample_groups(candidates)
         return min(
-            drawn, key=lambda each: self._expected_s(each, spec, prompt_tokens), default=None
+            choices, key=lambda each: self._expected_s(each, spec, prompt_tokens), default=None
         )
 
-    def _draw(self, found: list[GroupView]) -> list[GroupView]:
+    def _sample_groups(self, candidates: list[GroupView]) -> list[GroupView]:
         """Return a few groups to choose among, of the fast ones while those have places."""
-        if not self._sampled or len(found) <= self._sampled:
-            return found
-        fastest = min(each.pace for each in found)
-        fast = [each for each in found if each.pace <= FAST_PACE * fastest]
-        return self._chance.sample(fast, min(self._sampled, len(fast)))
+        if not self._sample_size or len(candidates) <= self._sample_size:
+            return candidates
+        fastest = min(each.pace for each in candidates)
+        fast = [each for each in candidates if each.pace <= FAST_PACE_FACTOR * fastest]
+        return self._rng.sample(fast, min(self._sample_size, len(fast)))
 
     def _expected_s(self, group: GroupView, spec: EngineSpec, prompt_tokens: int) -> float:
         """Return how long a group is expected to take for the first tokens of an answer.
@@ -247,8 +251,8 @@
         """Return how many prompt tokens each place has yet to read for this entry."""
         return +self._unread
 
-    def _unread_tokens(self, place: str) -> int:
-        return self._unread[place] + self._unread_elsewhere.total(place)
+    def _unread_tokens(self, target_id: str) -> int:
+        return self._unread[target_id] + self._remote_unread.total(target_id)
 
     def pick_target(
         self,
@@ -258,16 +262,16 @@
         now_s: float = 0.0,
     ) -> ListedTarget | None:
         """Return the plain target with the least work, failing ones last, or None."""
-        found = [
+        candidates = [
             each
-            for each in self._open_targets(service, within)
+            for each in self._eligible_targets(service, within)
             if each.instance not in avoid
-            and not self._asked_s(each.instance, each.born_ms, now_s)
+            and not self._requested_wait_s(each.instance, each.born_ms, now_s)
             and self._limit.allows(service, each.instance, now_s)
         ]
-        if not found:
+        if not candidates:
             return None
-        return min(found, key=self._target_cost)
+        return min(candidates, key=self._target_cost)
 
     def send_wait_s(
         self,
@@ -280,13 +284,13 @@
         waits_s = [
             max(
                 self._limit.wait_s(service, instance, now_s),
-                self._asked_s(instance, born_ms, now_s),
+                self._requested_wait_s(instance, born_ms, now_s),
             )
-            for instance, born_ms in self._leaders_or_plain(service, model, within)
+            for instance, born_ms in self._leaders_or_plain_targets(service, model, within)
         ]
         return min(waits_s, default=0.0)
 
-    def asked_wait_s(
+    def requested_wait_s(
         self,
         service: ServiceName,
         model: ModelName | None,
@@ -298,8 +302,8 @@
         It is 0 if one takes requests now, or if there is no place.
         """
         waits_s = (
-            self._asked_s(instance, born_ms, now_s)
-            for instance, born_ms in self._leaders_or_plain(service, model, within)
+            self._requested_wait_s(instance, born_ms, now_s)
+            for instance, born_ms in self._leaders_or_plain_targets(service, model, within)
         )
         return min(waits_s, default=0.0)
 
@@ -313,17 +317,17 @@
         """Tell whether every place asked to be left alone; others may only have a limit."""
         return all(
             self._backoffs.wait_s(instance, now_s, born_ms)
-            for instance, born_ms in self._leaders_or_plain(service, model, within)
+            for instance, born_ms in self._leaders_or_plain_targets(service, model, within)
         )
 
-    def _asked_s(self, instance: InstanceId, born_ms: int | None, now_s: float) -> float:
+    def _requested_wait_s(self, instance: InstanceId, born_ms: int | None, now_s: float) -> float:
         """Return for how long a target is to get nothing from this entry, by what it asked."""
         backoff_s = self._backoffs.wait_s(instance, now_s, born_ms)
         if self._gate is None:
             return backoff_s
         return max(backoff_s, self._gate.wait_s(instance, born_ms, now_s))
 
-    def taking(
+    def count_accepting_groups(
         self,
         service: ServiceName,
         model: ModelName | None,
@@ -332,20 +336,22 @@
     ) -> int:
         """Return how many groups of a model may be sent to now, by what they asked."""
         return sum(
-            not self._asked_s(each.leader, each.born_ms, now_s)
-            for each in self.places(service, model, within)
+            not self._requested_wait_s(each.leader, each.born_ms, now_s)
+            for each in self.eligible_groups(service, model, within)
         )
 
-    def _leaders_or_plain(
+    def _leaders_or_plain_targets(
         self, service: ServiceName, model: ModelName | None, within: frozenset[HallId] | None
     ) -> list[tuple[InstanceId, int | None]]:
         """Return who is sent to for a model, and which life of theirs: leaders if there are any."""
-        groups = [(each.leader, each.born_ms) for each in self.places(service, model, within)]
+        groups = [
+            (each.leader, each.born_ms) for each in self.eligible_groups(service, model, within)
+        ]
         return groups or [
-            (each.instance, each.born_ms) for each in self._open_targets(service, within)
+            (each.instance, each.born_ms) for each in self._eligible_targets(service, within)
         ]
 
-    def _open_targets(
+    def _eligible_targets(
         self, service: ServiceName, within: frozenset[HallId] | None
     ) -> list[ListedTarget]:
         """Return the plain targets that may be given requests, in some halls or in any."""
@@ -356,20 +362,20 @@
             if each.service == service
             and not each.leaving
             and not self._backoffs.leaving(each.instance, each.born_ms)
-            and (anywhere or self._in_reach(frozenset((each.hall,)), within))
+            and (anywhere or self._halls_allowed(frozenset((each.hall,)), within))
         ]
 
     def _target_cost(self, target: ListedTarget) -> float:
         load = self._load(target.instance, target.hall)
         return (1 + load) * self._health[target.instance].penalty()
 
-    def _load(self, place: str, hall: HallId) -> float:
-        away = 0.0 if hall == self._hall else OTHER_HALL_LOAD
-        return self.load(place) + away + self._chance.random() * JITTER_LOAD
+    def _load(self, target_id: str, hall: HallId) -> float:
+        hall_penalty = 0.0 if hall == self._hall else OTHER_HALL_LOAD
+        return self.load(target_id) + hall_penalty + self._rng.random() * JITTER_LOAD
 
-    def load(self, place: str) -> int:
+    def load(self, target_id: str) -> int:
         """Return how many attempts all entries have at a place."""
-        return len(self._under_way.get(place, ())) + self._elsewhere.total(place)
+        return len(self._under_way.get(target_id, ())) + self._remote_load.total(target_id)
 
     # What is under way.
 
@@ -381,15 +387,15 @@
         self._under_way[attempt.place].add(attempt)
         self._unread[attempt.place] += attempt.prompt_tokens
 
-    def heard(self, attempt: Attempt, now_s: float) -> None:
+    def on_answer_part(self, attempt: Attempt, now_s: float) -> None:
         """Note that a part of an answer came; the first shows that the prompt has been read."""
         if attempt.heard_s is None:
-            self._read(attempt)
+            self._mark_prompt_read(attempt)
         if attempt.written_s is None:
             attempt.written(now_s)
         attempt.heard(now_s)
 
-    def _read(self, attempt: Attempt) -> None:
+    def _mark_prompt_read(self, attempt: Attempt) -> None:
         self._unread[attempt.place] -= attempt.prompt_tokens
         if not self._unread[attempt.place]:
             del self._unread[attempt.place]
@@ -401,10 +407,10 @@
         running = self._under_way[attempt.place]
         running.discard(attempt)
         if attempt.heard_s is None:
-            self._read(attempt)
+            self._mark_prompt_read(attempt)
         if not running:
             del self._under_way[attempt.place]
-        self._health[attempt.instance].note(failed)
+        self._health[attempt.instance].record_attempt(failed)
 
 
 def halls_of(group: GroupView) -> frozenset[HallId]:
@@ -412,12 +418,12 @@
     return frozenset((group.hall, *group.halls))
 
 
-def _last_sign_s(running: Collection[Attempt]) -> float:
+def _last_progress_s(running: Collection[Attempt]) -> float:
     """Return when a group last gave a part of an answer, or should have given the first."""
-    heard = [attempt.heard_s for attempt in running if attempt.heard_s is not None]
-    if heard:
-        return max(heard)
-    return min(attempt.begun_s for attempt in running) + FIRST_ANSWER_S
+    received_s = [attempt.heard_s for attempt in running if attempt.heard_s is not None]
+    if received_s:
+        return max(received_s)
+    return min(attempt.begun_s for attempt in running) + FIRST_ANSWER_TIMEOUT_S
 
 
 __all__ = ["Fleet", "halls_of"]
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleetpublisher.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleetpublisher.py
@@ -20,7 +20,7 @@
     leaving: frozenset[InstanceId]
 
     @classmethod
-    def of(
+    def build(
         cls,
         groups: Iterable[GroupView],
         lost: Iterable[GroupId],
@@ -38,22 +38,22 @@
     def __init__(self) -> None:
         self._lease_revision = 0
         self._sequence = 0
-        self._told: FleetContent | None = None
+        self._published: FleetContent | None = None
 
-    def next(
+    def next_message(
         self, lease_revision: int, content: FleetContent, listed_age_s: float | None
     ) -> FleetUpdate | FleetChange | None:
         """Return what is to be told now, or None when there is no news."""
         if lease_revision != self._lease_revision:
-            self._lease_revision, self._sequence, self._told = lease_revision, 0, None
-        before, self._told = self._told, content
+            self._lease_revision, self._sequence, self._published = lease_revision, 0, None
+        before, self._published = self._published, content
         if before is None:
-            return self._whole(content, listed_age_s)
-        if not _news(before, content):
+            return self._full_update(content, listed_age_s)
+        if not _has_changed(before, content):
             return None
         return self._change(before, content, listed_age_s)
 
-    def _whole(self, content: FleetContent, listed_age_s: float | None) -> FleetUpdate:
+    def _full_update(self, content: FleetContent, listed_age_s: float | None) -> FleetUpdate:
         self._sequence += 1
         return FleetUpdate(
             lease_revision=self._lease_revision,
@@ -81,7 +81,7 @@
         )
 
 
-def _news(before: FleetContent, content: FleetContent) -> bool:
+def _has_changed(before: FleetContent, content: FleetContent) -> bool:
     """Tell whether more is new than that lost groups are named no longer."""
     return (
         content.groups != before.groups
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleetsharing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleetsharing.py
@@ -21,13 +21,13 @@
 from ochreway_runtime.logs import EventLog
 from ochreway_wire.links import Links
 
-LIST_SHARED_S = 2.0
+LIST_SHARE_INTERVAL_S = 2.0
 """How often the holder hands the whole list on, so that another can take over without the store."""
-TARGETS_SHARED_PER_S = 150.0
+MAX_TARGETS_SHARED_PER_S = 150.0
 """How many targets a second are handed on at the most; each takes its receiver some 50 us."""
 SUCCESSORS = 4
 """How many entries are handed the list, the first to take the lease if its holder is lost."""
-GROUPS_HANDED_ON_S = 5.0
+INHERITED_GROUPS_MAX_AGE_S = 5.0
 """How old a view may be that a new holder hands on until it has asked the engines itself."""
 
 
@@ -59,39 +59,39 @@
         self._cold = cold or ColdTargets(log)
         self._publisher = FleetPublisher()
         self._loop = asyncio.get_running_loop()
-        self._shared_s = 0.0
+        self._last_shared_s = 0.0
 
     # The list of targets.
 
     def reads_list(self) -> bool:
         """Tell whether this entry reads the list itself: as holder, or with none to hear."""
-        return self._lease.held or self._view.stale(self._loop.time())
+        return self._lease.held or self._view.list_is_stale(self._loop.time())
 
-    def listed(self, reading: TargetReading) -> None:
+    def on_list_read(self, reading: TargetReading) -> None:
         """Take the list as this entry has read it."""
         targets = reading.targets
         now_s = self._loop.time()
         known = len(self._view.targets())
         if len(targets) != known:
             self._log.event("listed", targets=len(targets), before=known)
-        self._take_list(targets, reading.asked_s, now_s)
-        self.show()
+        self._apply_list(targets, reading.asked_s, now_s)
+        self.update_fleet()
         self.publish()
         self._share_list(targets)
 
-    def _take_list(self, targets: tuple[ListedTarget, ...], asked_s: float, now_s: float) -> None:
+    def _apply_list(self, targets: tuple[ListedTarget, ...], asked_s: float, now_s: float) -> None:
         self._cold.listed(targets, now_s)
         self._coordination.listed(targets, now_s, self._health.regained_s)
-        self._view.list(targets, asked_s, now_s, self._health.regained_s)
+        self._view.apply_list(targets, asked_s, now_s, self._health.regained_s)
 
     def _share_list(self, targets: tuple[ListedTarget, ...]) -> None:
         """Hand the list on: to those that may hold the lease next, or to a holder that lacks it."""
         now_s = self._loop.time()
         holder = self._peers.holder(now_s)
         update = ListUpdate(targets, self._view.listed_age_s(now_s) or 0.0)
-        every_s = max(LIST_SHARED_S, len(targets) / TARGETS_SHARED_PER_S)
-        if self._lease.held and now_s - self._shared_s >= every_s:
-            self._shared_s = now_s
+        interval_s = max(LIST_SHARE_INTERVAL_S, len(targets) / MAX_TARGETS_SHARED_PER_S)
+        if self._lease.held and now_s - self._last_shared_s >= interval_s:
+            self._last_shared_s = now_s
             self._links.send_all(self._peers.successors(now_s, SUCCESSORS), update)
         elif not self._lease.held and holder is not None and self._heartbeats.first_head:
             self._links.send(holder, update)
@@ -100,13 +100,13 @@
         """Take a list that another entry has read."""
         now_s = self._loop.time()
         if not self._lease.held:
-            self._view.know_engines(update.targets)
-        elif self._view.stale(now_s):
-            self._take_list(update.targets, now_s - update.age_s, now_s)
+            self._view.merge_engines(update.targets)
+        elif self._view.list_is_stale(now_s):
+            self._apply_list(update.targets, now_s - update.age_s, now_s)
 
     # The groups.
 
-    def begin(self, epoch: Epoch) -> None:
+    def begin_coordinating(self, epoch: Epoch) -> None:
         """Form groups from now on, with epochs above the one given."""
         now_s = self._loop.time()
         self._coordination.begin(
@@ -118,56 +118,56 @@
         now_s = self._loop.time()
         if not self._lease.held:
             return
-        groups = self._groups_to_tell(now_s)
+        groups = self._groups_to_publish(now_s)
         if groups is None:
             return
         lost = self._coordination.lost(now_s)
-        content = FleetContent.of(groups, lost, self._view.plain_targets(), self._view.leaving)
+        content = FleetContent.build(groups, lost, self._view.plain_targets(), self._view.leaving)
         listed_age_s = self._view.listed_age_s(now_s)
-        news = self._publisher.next(self._lease.taken_at, content, listed_age_s)
-        if news is None:
-            self._view.stand_by(now_s)
+        message = self._publisher.next_message(self._lease.taken_at, content, listed_age_s)
+        if message is None:
+            self._view.renew_update(now_s)
             return
-        self._links.send_all(self._heartbeats.audience(), news)
-        self._take(news)
+        self._links.send_all(self._heartbeats.audience(), message)
+        self._apply(message)
 
-    def _groups_to_tell(self, now_s: float) -> tuple[GroupView, ...] | None:
+    def _groups_to_publish(self, now_s: float) -> tuple[GroupView, ...] | None:
         """Return the groups that serve; until the engines were asked, those of the last holder."""
         if self._coordination.coordinator.started:
             return self._coordination.coordinator.views()
-        return self._view.groups_of_holder(now_s, GROUPS_HANDED_ON_S)
+        return self._view.last_published_groups(now_s, INHERITED_GROUPS_MAX_AGE_S)
 
-    def on_news(self, sender: Peer, news: FleetUpdate | FleetChange) -> None:
+    def on_fleet_message(self, sender: Peer, message: FleetUpdate | FleetChange) -> None:
         """Take what the holder tells, and hand it on to those who hear of it only through here."""
-        if self._take(news):
+        if self._apply(message):
             others = [peer for peer in self._heartbeats.members() if peer != sender]
-            self._links.send_all(others, news)
+            self._links.send_all(others, message)
 
-    def _take(self, news: FleetUpdate | FleetChange) -> bool:
+    def _apply(self, message: FleetUpdate | FleetChange) -> bool:
         now_s = self._loop.time()
-        match news:
+        match message:
             case FleetUpdate():
-                taken = self._view.take(news, now_s)
+                applied = self._view.apply_update(message, now_s)
             case FleetChange():
-                taken = self._view.change(news, now_s)
-        if taken:
-            self.show()
-            for group in news.lost:
+                applied = self._view.apply_change(message, now_s)
+        if applied:
+            self.update_fleet()
+            for group in message.lost:
                 self._serving.fleet.abandon(group)
-        return taken
+        return applied
 
     def on_request(self, sender: Peer, _: FleetRequest) -> None:
         """Hand the whole view to an entry whose own is older."""
-        update = self._view.newest(self._loop.time())
+        update = self._view.full_update(self._loop.time())
         if update is not None:
             self._links.send(sender, update)
 
-    def show(self) -> None:
+    def update_fleet(self) -> None:
         """Have requests sent by what the view shows now."""
         now_s = self._loop.time()
         mark = self._view.mark(now_s)
-        shown = f"{mark.lease_revision}/{mark.sequence}"
-        self._serving.fleet.set_groups(self._view.groups(now_s), shown)
+        view_name = f"{mark.lease_revision}/{mark.sequence}"
+        self._serving.fleet.set_groups(self._view.groups(now_s), view_name)
         self._serving.fleet.set_targets(self._view.plain_targets())
         self._serving.fleet.set_leaving(self._view.leaving)
 
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleetview.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleetview.py
@@ -14,7 +14,7 @@
 from ochreway_direct.messages import FleetChange, FleetMark, FleetUpdate
 
 NEVER_S = -1.0e9
-UPDATE_TRUSTED_S = 5.0
+UPDATE_MAX_AGE_S = 5.0
 """For how long the last update goes before the list when no holder is heard."""
 
 
@@ -38,7 +38,7 @@
         return self._leaving
 
     @property
-    def known(self) -> bool:
+    def has_update(self) -> bool:
         """Tell whether any update was taken."""
         return self._update is not None
 
@@ -51,24 +51,24 @@
             return FleetMark()
         listed_s = self._update_listed_s
         listed_age_s = now_s - listed_s if listed_s > NEVER_S else None
-        return FleetMark(*_order(self._update), now_s - self._updated_s, listed_age_s)
+        return FleetMark(*_version_of(self._update), now_s - self._updated_s, listed_age_s)
 
-    def stand_by(self, now_s: float) -> None:
+    def renew_update(self, now_s: float) -> None:
         """Note that the holder, this entry, stands by the newest update and its targets."""
         self._updated_s = now_s
         self._update_listed_s = self._listed_s
 
-    def groups_of_holder(self, now_s: float, age_at_most_s: float) -> tuple[GroupView, ...] | None:
+    def last_published_groups(self, now_s: float, max_age_s: float) -> tuple[GroupView, ...] | None:
         """Return the groups of the newest update, or None when it is too old to go by."""
-        if self._update is None or now_s - self._updated_s > age_at_most_s:
+        if self._update is None or now_s - self._updated_s > max_age_s:
             return None
         return self._update.groups
 
-    def older_than(self, mark: FleetMark) -> bool:
+    def is_older_than(self, mark: FleetMark) -> bool:
         """Tell whether another entry's view is newer."""
-        return (mark.lease_revision, mark.sequence) > _order(self._update)
+        return (mark.lease_revision, mark.sequence) > _version_of(self._update)
 
-    def newest(self, now_s: float) -> FleetUpdate | None:
+    def full_update(self, now_s: float) -> FleetUpdate | None:
         """Return the newest update, with the list as it is known by now."""
         if self._update is None:
             return None
@@ -80,31 +80,31 @@
             listed_age_s=self.listed_age_s(now_s),
         )
 
-    def take(self, update: FleetUpdate, now_s: float) -> bool:
+    def apply_update(self, update: FleetUpdate, now_s: float) -> bool:
         """Take an update unless a newer one is known; return whether it was taken."""
-        if _order(update) < _order(self._update):
+        if _version_of(update) < _version_of(self._update):
             return False
         self._update = update
         self._updated_s = now_s
         self._update_listed_s = NEVER_S
-        self._take_listed(update, update.listed_age_s, now_s)
+        self._apply_listed_targets(update, update.listed_age_s, now_s)
         return True
 
-    def change(self, change: FleetChange, now_s: float) -> bool:
+    def apply_change(self, change: FleetChange, now_s: float) -> bool:
         """Take a change if it is the next one of the same lease; return whether it was."""
-        if self._update is None or _order(self._update) != _order(change, -1):
+        if self._update is None or _version_of(self._update) != _version_of(change, -1):
             return False
-        gone = {*change.gone, *(each.group for each in change.groups)}
-        kept = tuple(each for each in self._update.groups if each.group not in gone)
+        replaced = {*change.gone, *(each.group for each in change.groups)}
+        kept = tuple(each for each in self._update.groups if each.group not in replaced)
         update = FleetUpdate(
-            *_order(change),
+            *_version_of(change),
             groups=kept + change.groups,
             lost=change.lost,
             targets=change.targets,
             leaving=change.leaving,
             listed_age_s=change.listed_age_s,
         )
-        return self.take(update, now_s)
+        return self.apply_update(update, now_s)
 
     def confirm(self, mark: FleetMark, now_s: float) -> bool:
         """Take it that the holder stood by this view a while ago; return whether the list is newer.
@@ -113,12 +113,15 @@
             mark: what another entry says of its view; only the same one counts.
             now_s: the time.
         """
-        if self._update is None or _order(self._update) != (mark.lease_revision, mark.sequence):
+        if self._update is None or _version_of(self._update) != (
+            mark.lease_revision,
+            mark.sequence,
+        ):
             return False
         self._updated_s = max(self._updated_s, now_s - mark.age_s)
-        return self._take_listed(self._update, mark.listed_age_s, now_s)
+        return self._apply_listed_targets(self._update, mark.listed_age_s, now_s)
 
-    def _take_listed(self, update: FleetUpdate, age_s: float | None, now_s: float) -> bool:
+    def _apply_listed_targets(self, update: FleetUpdate, age_s: float | None, now_s: float) -> bool:
         """Go by an update's targets if their list is newer than the own one."""
         if age_s is None:
             return False
@@ -131,32 +134,32 @@
         self._leaving = frozenset(update.leaving)
         return True
 
-    def list(
+    def apply_list(
         self, targets: tuple[ListedTarget, ...], asked_s: float, now_s: float, regained_s: float
     ) -> None:
         """Take the platform's list as it was read by this entry.
 
         Targets that may have lapsed in an outage, which ended at ``regained_s``, stay known.
         """
-        found = {each.instance: each for each in targets}
+        listed_targets = {each.instance: each for each in targets}
         announced = {each.instance for each in targets if each.leaving}
-        gone = self._listing.read(found, now_s, regained_s, announced)
+        departed = self._listing.read(listed_targets, now_s, regained_s, announced)
         if now_s - regained_s < LAPSE_RETURN_S:
-            self._targets |= found
+            self._targets |= listed_targets
         else:
-            self._targets = found
+            self._targets = listed_targets
         self.last_models.note(self._targets.values())
-        self._leaving = frozenset(gone | announced)
+        self._leaving = frozenset(departed | announced)
         self._listed_s = max(self._listed_s, asked_s)
 
-    def know_engines(self, targets: tuple[ListedTarget, ...]) -> None:
+    def merge_engines(self, targets: tuple[ListedTarget, ...]) -> None:
         """Take another entry's list of engines, for the time when this one forms groups."""
         plain = {i: t for i, t in self._targets.items() if t.engine is None}
         engines = {each.instance: each for each in targets if each.engine is not None}
         self._targets = plain | engines
         self.last_models.note(targets)
 
-    def stale(self, now_s: float) -> bool:
+    def list_is_stale(self, now_s: float) -> bool:
         """Tell whether the list has to be read by this entry itself."""
         return now_s - self._listed_s > self._stale_s
 
@@ -174,7 +177,7 @@
 
     def groups(self, now_s: float) -> tuple[GroupView, ...]:
         """Return the groups that serve."""
-        if self._update is not None and now_s - self._updated_s < UPDATE_TRUSTED_S:
+        if self._update is not None and now_s - self._updated_s < UPDATE_MAX_AGE_S:
             return self._update.groups
         halls = self._halls_of_members()
         groups = (_listed_group(target, halls) for target in self._targets.values())
@@ -183,15 +186,15 @@
 
     def _halls_of_members(self) -> dict[tuple[GroupId, Epoch], set[HallId]]:
         """Return the halls of each group's members, as far as they are listed."""
-        found: dict[tuple[GroupId, Epoch], set[HallId]] = defaultdict(set)
+        members_halls: dict[tuple[GroupId, Epoch], set[HallId]] = defaultdict(set)
         for target in self._targets.values():
             membership = target.engine.membership if target.engine is not None else None
             if membership is not None:
-                found[membership.group, membership.epoch].add(target.hall)
-        return found
+                members_halls[membership.group, membership.epoch].add(target.hall)
+        return members_halls
 
 
-def _order(update: FleetUpdate | FleetChange | None, later: int = 0) -> tuple[int, int]:
+def _version_of(update: FleetUpdate | FleetChange | None, later: int = 0) -> tuple[int, int]:
     return (update.lease_revision, update.sequence + later) if update is not None else (0, 0)
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/placecounts.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/remotecounts.py
@@ -5,14 +5,14 @@
 from collections.abc import Mapping
 
 
-class PlaceCounts:
+class RemoteCounts:
     """Keep the newest numbers of each reporter, and the sum for each place as they change."""
 
     def __init__(self) -> None:
         self._reports: dict[str, Mapping[str, int]] = {}
         self._totals: Counter[str] = Counter()
 
-    def put(self, source: str, numbers: Mapping[str, int]) -> None:
+    def set_report(self, source: str, numbers: Mapping[str, int]) -> None:
         """Replace what a reporter said."""
         before = self._reports.get(source, {})
         if numbers == before:
@@ -21,19 +21,19 @@
         self._totals.update(numbers)
         self._subtract(before)
 
-    def drop(self, source: str) -> None:
+    def drop_report(self, source: str) -> None:
         """Forget what a reporter said."""
         self._subtract(self._reports.pop(source, {}))
 
-    def total(self, place: str) -> int:
+    def total(self, target_id: str) -> int:
         """Return the sum for a place over all reporters."""
-        return self._totals[place]
+        return self._totals[target_id]
 
     def _subtract(self, numbers: Mapping[str, int]) -> None:
-        for place, number in numbers.items():
-            self._totals[place] -= number
-            if not self._totals[place]:
-                del self._totals[place]
+        for target_id, number in numbers.items():
+            self._totals[target_id] -= number
+            if not self._totals[target_id]:
+                del self._totals[target_id]
 
 
-__all__ = ["PlaceCounts"]
+__all__ = ["RemoteCounts"]
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/targethealth.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/targethealth.py
@@ -3,23 +3,23 @@
 
 from dataclasses import dataclass
 
-WEIGHT = 0.2
-PENALTY_AT_MOST = 20.0
+SMOOTHING_WEIGHT = 0.2
+MAX_EXTRA_PENALTY = 20.0
 
 
 @dataclass(slots=True)
 class TargetHealth:
     """Hold a moving average of failures."""
 
-    failing: float = 0.0
+    failure_rate: float = 0.0
 
-    def note(self, failed: bool) -> None:
+    def record_attempt(self, failed: bool) -> None:
         """Take the end of one attempt."""
-        self.failing += WEIGHT * (float(failed) - self.failing)
+        self.failure_rate += SMOOTHING_WEIGHT * (float(failed) - self.failure_rate)
 
     def penalty(self) -> float:
         """Return by how much the target is to be avoided; 1 when nothing failed."""
-        return 1.0 + PENALTY_AT_MOST * self.failing
+        return 1.0 + MAX_EXTRA_PENALTY * self.failure_rate
 
 
 __all__ = ["TargetHealth"]
--- a/packages/ochreway-direct/src/ochreway_direct/relay/calllog.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/calllog.py
@@ -37,7 +37,7 @@
             target=attempt.instance,
             group=attempt.group or "",
             epoch=attempt.epoch or "",
-            view=self._fleet.shown,
+            view=self._fleet.view_name,
             version=self._serving.version,
             load=attempt.load,
             pace=attempt.pace,
@@ -61,11 +61,13 @@
             "reason": refused.reason.value,
             "version": self._serving.version,
             "proof_age_s": round(self._serving.freshness.age_s(now_s), DIGITS),
-            "view": self._fleet.shown,
+            "view": self._fleet.view_name,
         }
         if call is not None:
             fields |= self._of_call(call, now_s)
-            fields["places"] = len(self._fleet.places(call.service, call.terms.model, call.within))
+            fields["places"] = len(
+                self._fleet.eligible_groups(call.service, call.terms.model, call.within)
+            )
         self._log.failure("refused", **fields)
 
     def broken(self, call: Call | None, request: str, broken: AnswerBroken) -> None:
--- a/packages/ochreway-direct/src/ochreway_direct/relay/exchange.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/exchange.py
@@ -96,9 +96,11 @@
         return min(call.end_s, call.silent_since_s + silence_s)
 
     def _alternative(self, call: Call) -> bool:
-        if self._fleet.has_engines(call.service):
+        if self._fleet.has_serving_group(call.service):
             now_s = asyncio.get_running_loop().time()
-            taking = self._fleet.taking(call.service, call.terms.model, call.within, now_s)
+            taking = self._fleet.count_accepting_groups(
+                call.service, call.terms.model, call.within, now_s
+            )
             return taking > 1
         return True
 
@@ -197,7 +199,7 @@
         async for piece in response.content.iter_any():
             whole = splitter.feed(piece)
             now_s = loop.time()
-            self._fleet.heard(attempt, now_s)
+            self._fleet.on_answer_part(attempt, now_s)
             attempt.extend(min(call.end_s, now_s + pause_s))
             if whole:
                 # Noted first: a write that is cancelled may have been passed on all the same.
--- a/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
@@ -200,7 +200,7 @@
 
     def _asked_s(self, call: Call, now_s: float) -> float:
         """Return how soon the first place takes requests again; 0 if one does, or there is none."""
-        return self._fleet.asked_wait_s(call.service, call.terms.model, call.within, now_s)
+        return self._fleet.requested_wait_s(call.service, call.terms.model, call.within, now_s)
 
     def _asked_for(self, call: Call, now_s: float) -> Reason:
         """Return what places asked for that take no request now."""
@@ -209,7 +209,7 @@
         return Reason.BACKOFF if alone else Reason.TARGET_LIMIT
 
     def _all_closed(self, call: Call) -> bool:
-        return self._fleet.all_closed(call.service, call.terms.model, call.within)
+        return self._fleet.all_halls_closed(call.service, call.terms.model, call.within)
 
     def _patience_s(self, call: Call) -> float:
         if call.begun:
@@ -247,7 +247,7 @@
                 born_ms=group.born_ms,
             )
         target = self._fleet.pick_target(call.service, call.tried, call.within, now_s)
-        if target is None and call.tried and not self._fleet.has_engines(call.service):
+        if target is None and call.tried and not self._fleet.has_serving_group(call.service):
             target = self._fleet.pick_target(call.service, (), call.within, now_s)
         if target is None:
             return None
--- a/packages/ochreway-standins/src/ochreway_standins/choicebench.py
+++ b/packages/ochreway-standins/src/ochreway_standins/choicebench.py
@@ -110,7 +110,7 @@
                 entry.fleet.end(attempt, False)
                 self.groups[GroupId(attempt.place)].running -= 1
             else:
-                entry.fleet.heard(attempt, now_s)
+                entry.fleet.on_answer_part(attempt, now_s)
 
 
 def _groups(number: int) -> Iterable[FakeGroup]:
@@ -133,7 +133,7 @@
         world = SpreadWorld(loop, entries, HALLS, mesh, STEP_S)
         world.run(SETTLED_S)
         for entry in world.entries.values():
-            entry.fleet._sampled = sampled or None
+            entry.fleet._sample_size = sampled or None
         choice = ChoiceWorld(world, groups, per_s, seed)
         choice.run(seconds)
         found = choice.outcome
--- a/packages/ochreway-standins/src/ochreway_standins/slopes/direct.py
+++ b/packages/ochreway-standins/src/ochreway_standins/slopes/direct.py
@@ -39,7 +39,7 @@
 
 def choices(groups: int, entries: int) -> None:
     """Time the choice of a group by an entry among others that report their counts."""
-    fleet = Fleet(HallId("h"), random.Random(1), sampled=SAMPLED_GROUPS)
+    fleet = Fleet(HallId("h"), random.Random(1), sample_size=SAMPLED_GROUPS)
     views = [
         GroupView(
             *(GroupId(f"g{n}"), Epoch(1), SERVICE, LARGE.name, InstanceId(f"i{n}"), f"x:{n}"),
@@ -49,7 +49,7 @@
     ]
     fleet.set_groups(views)
     for entry in range(entries - 1):
-        fleet.set_elsewhere(f"entry/{entry}", {each.group: entry % 3 for each in views}, {})
+        fleet.set_remote_work(f"entry/{entry}", {each.group: entry % 3 for each in views}, {})
     for each in views:
         fleet.begin(Attempt(each.leader, each.address, each.hall, each.group, 700))
     took = []
--- a/tests/direct/test_closedhalls.py
+++ b/tests/direct/test_closedhalls.py
@@ -46,8 +46,8 @@
         self.fleet.set_closed_halls(frozenset({CLOSED}))
 
     def picked(self) -> str | None:
-        found = self.fleet.pick_group(SERVICE, LARGE.name, (), SPEC, 3)
-        return found.group if found is not None else None
+        choice = self.fleet.pick_group(SERVICE, LARGE.name, (), SPEC, 3)
+        return choice.group if choice is not None else None
 
     def test_a_group_with_any_member_in_the_hall_gets_nothing(self) -> None:
         self.fleet.set_groups((group("there", CLOSED), group("partly", OPEN, OPEN, CLOSED)))
@@ -66,20 +66,22 @@
         self.fleet.set_closed_halls(frozenset())
         self.assertEqual("there", self.picked())
 
-    def test_all_is_closed_only_where_there_is_a_place_and_none_outside(self) -> None:
-        self.assertFalse(self.fleet.all_closed(SERVICE, LARGE.name))
+    def test_all_halls_are_closed_only_where_a_target_exists_and_none_outside(self) -> None:
+        self.assertFalse(self.fleet.all_halls_closed(SERVICE, LARGE.name))
         self.fleet.set_groups((group("there", CLOSED),))
-        self.assertTrue(self.fleet.all_closed(SERVICE, LARGE.name))
-        self.assertFalse(self.fleet.all_closed(PLAIN, None))
+        self.assertTrue(self.fleet.all_halls_closed(SERVICE, LARGE.name))
+        self.assertFalse(self.fleet.all_halls_closed(PLAIN, None))
         self.fleet.set_groups((group("there", CLOSED), group("here", OPEN)))
-        self.assertFalse(self.fleet.all_closed(SERVICE, LARGE.name))
-        self.assertTrue(self.fleet.all_closed(SERVICE, LARGE.name, frozenset({CLOSED})))
+        self.assertFalse(self.fleet.all_halls_closed(SERVICE, LARGE.name))
+        self.assertTrue(self.fleet.all_halls_closed(SERVICE, LARGE.name, frozenset({CLOSED})))
 
 
 class ClosedRelayTests(RelayCase):
     tuning = RelayTuning(patience_share=5.0)
 
-    def test_with_every_place_in_a_closed_hall_a_caller_is_refused_at_once_as_not_run(self) -> None:
+    def test_with_every_target_in_a_closed_hall_a_caller_is_refused_at_once_as_not_run(
+        self,
+    ) -> None:
         async def work(running: Running) -> None:
             (target,) = running.fleet._targets.values()
             running.fleet.set_closed_halls(frozenset({target.hall}))
@@ -102,7 +104,7 @@
 
     def closing(self, breaks: bool) -> tuple[bytes, list[int]]:
         """Close the hall of the first target while it answers; return the answer and who ran."""
-        found: list[tuple[bytes, list[int]]] = []
+        results: list[tuple[bytes, list[int]]] = []
 
         async def first(headers: Headers, writer: asyncio.StreamWriter) -> None:
             writer.write(stream_head(headers) + event(1))
@@ -128,15 +130,15 @@
             running.fleet.set_closed_halls(frozenset({CLOSED}))
             answer = await asking
             self.assertFalse(answer.broken)
-            found.append((answer.body, [len(target.seen) for target in running.targets]))
+            results.append((answer.body, [len(target.seen) for target in running.targets]))
 
         self.relayed(work, first, other, other)
-        return found[0]
+        return results[0]
 
-    def test_what_is_under_way_there_ends_by_itself(self) -> None:
+    def test_requests_under_way_in_a_closed_hall_are_not_interrupted(self) -> None:
         body, runs = self.closing(breaks=False)
         self.assertEqual(([1, 0, 0], 3), (runs, body.count(b"data:")))
 
-    def test_what_breaks_there_goes_on_outside_the_hall(self) -> None:
+    def test_a_stream_that_breaks_in_a_closed_hall_resumes_outside(self) -> None:
         body, runs = self.closing(breaks=True)
         self.assertEqual(([1, 0, 1], 3), (runs, body.count(b"data:")))
--- a/tests/direct/test_fleet.py
+++ b/tests/direct/test_fleet.py
@@ -29,8 +29,8 @@
             self.fleet.begin(Attempt(group.leader, group.address, group.hall, group.group))
 
     def chosen(self) -> str | None:
-        found = self.fleet.pick_group(SERVICE, LARGE.name, (), SPEC, QUEUED)
-        return found.group if found is not None else None
+        choice = self.fleet.pick_group(SERVICE, LARGE.name, (), SPEC, QUEUED)
+        return choice.group if choice is not None else None
 
     def test_of_equal_groups_the_least_loaded_is_chosen(self) -> None:
         busy, idle = view("busy", 1.0), view("idle", 1.0)
@@ -46,7 +46,7 @@
         self.load(other, 4)
         self.assertEqual("other", self.chosen())
         self.assertEqual({"one": 4000}, self.fleet.unread())
-        self.fleet.heard(unread, 1.0)
+        self.fleet.on_answer_part(unread, 1.0)
         self.assertEqual("one", self.chosen())
         self.assertEqual({}, self.fleet.unread())
 
@@ -55,9 +55,9 @@
         self.fleet.set_groups((one, other))
         self.load(other, 2)
         self.assertEqual("one", self.chosen())
-        self.fleet.set_elsewhere("e2", Counter(), Counter({"one": 4000}))
+        self.fleet.set_remote_work("e2", Counter(), Counter({"one": 4000}))
         self.assertEqual("other", self.chosen())
-        self.fleet.forget_elsewhere("e2")
+        self.fleet.drop_remote_work("e2")
         self.assertEqual("one", self.chosen())
 
     def test_a_slow_group_is_chosen_only_when_others_would_be_slower(self) -> None:
@@ -69,26 +69,26 @@
         self.assertEqual("slow", self.chosen())
 
     def test_of_many_groups_the_best_of_a_few_drawn_ones_is_chosen(self) -> None:
-        fleet = Fleet(HALL, random.Random(1), sampled=2)
+        fleet = Fleet(HALL, random.Random(1), sample_size=2)
         groups = [view(f"g{n}", 1.0) for n in range(10)]
         fleet.set_groups(groups)
         for group in groups[1:]:
             fleet.begin(Attempt(group.leader, group.address, HALL, group.group))
             fleet.begin(Attempt(group.leader, group.address, HALL, group.group))
-        found = [fleet.pick_group(SERVICE, LARGE.name, (), SPEC, QUEUED) for _ in range(200)]
-        idle = sum(each is not None and each.group == "g0" for each in found)
+        choices = [fleet.pick_group(SERVICE, LARGE.name, (), SPEC, QUEUED) for _ in range(200)]
+        idle = sum(each is not None and each.group == "g0" for each in choices)
         self.assertTrue(20 <= idle <= 60, idle)
-        self.assertEqual(10, len({each.group for each in found if each is not None}))
+        self.assertEqual(10, len({each.group for each in choices if each is not None}))
 
     def test_slow_groups_are_drawn_only_when_the_fast_ones_are_full(self) -> None:
-        fleet = Fleet(HALL, random.Random(1), sampled=2)
+        fleet = Fleet(HALL, random.Random(1), sample_size=2)
         fast = [view(f"fast{n}", 1.0) for n in range(3)]
         fleet.set_groups([*fast, *(view(f"slow{n}", 4.0) for n in range(9))])
 
         def chosen() -> str:
-            found = fleet.pick_group(SERVICE, LARGE.name, (), SPEC, QUEUED)
-            assert found is not None
-            return found.group[:4]
+            choice = fleet.pick_group(SERVICE, LARGE.name, (), SPEC, QUEUED)
+            assert choice is not None
+            return choice.group[:4]
 
         self.assertEqual({"fast"}, {chosen() for _ in range(100)})
         for group in fast:
@@ -105,12 +105,12 @@
     def test_a_sum_over_entries_follows_each_of_their_reports(self) -> None:
         group = view("one", 1.0)
         self.fleet.set_groups((group,))
-        self.fleet.set_elsewhere("e2", {"one": 3})
-        self.fleet.set_elsewhere("e3", {"one": 2, "other": 1})
+        self.fleet.set_remote_work("e2", {"one": 3})
+        self.fleet.set_remote_work("e3", {"one": 2, "other": 1})
         self.assertEqual(5, self.fleet.load("one"))
-        self.fleet.set_elsewhere("e2", {"other": 4})
+        self.fleet.set_remote_work("e2", {"other": 4})
         self.assertEqual((2, 5), (self.fleet.load("one"), self.fleet.load("other")))
-        self.fleet.forget_elsewhere("e3")
+        self.fleet.drop_remote_work("e3")
         self.assertEqual((0, 4), (self.fleet.load("one"), self.fleet.load("other")))
 
 
@@ -128,7 +128,7 @@
         return attempt
 
     def test_a_group_whose_answers_stand_still_is_silent(self) -> None:
-        self.fleet.heard(self.begin(10.0), 10.2)
+        self.fleet.on_answer_part(self.begin(10.0), 10.2)
         self.assertEqual([], self.fleet.silent_groups(10.4, 0.3))
         self.assertEqual(["one"], self.fleet.silent_groups(10.6, 0.3))
 
--- a/tests/direct/test_fleetpublisher.py
+++ b/tests/direct/test_fleetpublisher.py
@@ -19,7 +19,7 @@
 
 def content(*groups: GroupView, lost: tuple[str, ...] = (), leaving: str = "") -> FleetContent:
     gone = (InstanceId(leaving),) if leaving else ()
-    return FleetContent.of(groups, map(GroupId, lost), (), gone)
+    return FleetContent.build(groups, map(GroupId, lost), (), gone)
 
 
 class FleetPublisherTests(testtools.TestCase):
@@ -28,63 +28,63 @@
         self.publisher = FleetPublisher()
         self.view = FleetView(1.4)
 
-    def tell(self, lease: int, told: FleetContent) -> FleetUpdate | FleetChange | None:
-        news = self.publisher.next(lease, told, 0.1)
+    def publish(self, lease: int, published: FleetContent) -> FleetUpdate | FleetChange | None:
+        news = self.publisher.next_message(lease, published, 0.1)
         if isinstance(news, FleetUpdate):
-            self.assertTrue(self.view.take(news, 10.0))
+            self.assertTrue(self.view.apply_update(news, 10.0))
         elif news is not None:
-            self.assertTrue(self.view.change(news, 10.0))
+            self.assertTrue(self.view.apply_change(news, 10.0))
         return news
 
     def shown(self) -> dict[str, float]:
         return {each.group: each.pace for each in self.view.groups(10.0)}
 
-    def test_each_lease_begins_with_a_whole_update_and_goes_on_with_changes(self) -> None:
-        self.assertIsInstance(self.tell(1, content(view("a"), view("b"))), FleetUpdate)
-        news = self.tell(1, content(view("a", 2.0), view("c")))
+    def test_each_lease_begins_with_a_full_update_and_continues_with_changes(self) -> None:
+        self.assertIsInstance(self.publish(1, content(view("a"), view("b"))), FleetUpdate)
+        news = self.publish(1, content(view("a", 2.0), view("c")))
         assert isinstance(news, FleetChange)
         self.assertEqual({"a", "c"}, {each.group for each in news.groups})
         self.assertEqual(("b",), news.gone)
         self.assertEqual({"a": 2.0, "c": 1.0}, self.shown())
-        self.assertIsInstance(self.tell(2, content(view("c"))), FleetUpdate)
+        self.assertIsInstance(self.publish(2, content(view("c"))), FleetUpdate)
         self.assertEqual({"c": 1.0}, self.shown())
 
-    def test_nothing_is_told_when_nothing_is_new(self) -> None:
-        self.tell(1, content(view("a"), lost=("x",)))
-        self.assertIsNone(self.tell(1, content(view("a"), lost=("x",))))
-        self.assertIsNone(self.tell(1, content(view("a"))))
+    def test_nothing_is_published_when_nothing_changed(self) -> None:
+        self.publish(1, content(view("a"), lost=("x",)))
+        self.assertIsNone(self.publish(1, content(view("a"), lost=("x",))))
+        self.assertIsNone(self.publish(1, content(view("a"))))
 
-    def test_a_lost_group_and_a_leave_are_news(self) -> None:
-        self.tell(1, content(view("a")))
-        self.assertIsNotNone(self.tell(1, content(view("a"), lost=("x",))))
-        self.assertIsNotNone(self.tell(1, content(view("a"), lost=("x",), leaving="i")))
+    def test_a_lost_group_and_a_leave_are_published(self) -> None:
+        self.publish(1, content(view("a")))
+        self.assertIsNotNone(self.publish(1, content(view("a"), lost=("x",))))
+        self.assertIsNotNone(self.publish(1, content(view("a"), lost=("x",), leaving="i")))
         self.assertEqual({"i"}, set(self.view.leaving))
 
-    def test_a_view_that_missed_a_change_is_older_and_takes_no_later_one(self) -> None:
-        self.tell(1, content(view("a")))
-        self.publisher.next(1, content(view("b")), 0.1)
-        missed = self.publisher.next(1, content(view("c")), 0.1)
+    def test_a_view_that_missed_a_change_is_older_and_applies_no_later_one(self) -> None:
+        self.publish(1, content(view("a")))
+        self.publisher.next_message(1, content(view("b")), 0.1)
+        missed = self.publisher.next_message(1, content(view("c")), 0.1)
         assert isinstance(missed, FleetChange)
-        self.assertFalse(self.view.change(missed, 10.0))
-        self.assertTrue(self.view.older_than(FleetMark(1, missed.sequence)))
+        self.assertFalse(self.view.apply_change(missed, 10.0))
+        self.assertTrue(self.view.is_older_than(FleetMark(1, missed.sequence)))
         self.assertEqual({"a": 1.0}, self.shown())
 
-    def test_a_view_stays_fresh_while_its_holder_stands_by_it(self) -> None:
-        self.tell(1, content(view("a")))
+    def test_a_view_stays_fresh_while_its_holder_renews_it(self) -> None:
+        self.publish(1, content(view("a")))
         mark = replace(self.view.mark(10.0), age_s=0.2, listed_age_s=0.3)
-        self.assertTrue(self.view.stale(12.0))
+        self.assertTrue(self.view.list_is_stale(12.0))
         self.assertTrue(self.view.confirm(mark, 12.0))
-        self.assertFalse(self.view.stale(12.0))
+        self.assertFalse(self.view.list_is_stale(12.0))
         self.assertAlmostEqual(0.2, self.view.mark(12.0).age_s)
         self.assertFalse(self.view.confirm(replace(mark, sequence=9), 14.0))
 
-    def test_a_list_read_by_an_entry_itself_does_not_vouch_for_what_others_know(
+    def test_a_list_read_by_an_entry_itself_does_not_renew_the_list_of_the_update(
         self,
     ) -> None:
-        self.tell(1, content(view("a")))
-        self.view.list((), 11.0, 11.0, NEVER_S)
+        self.publish(1, content(view("a")))
+        self.view.apply_list((), 11.0, 11.0, NEVER_S)
         age_s = self.view.mark(12.0).listed_age_s
         assert age_s is not None
         self.assertAlmostEqual(2.1, age_s)
-        self.view.stand_by(12.0)
+        self.view.renew_update(12.0)
         self.assertEqual(1.0, self.view.mark(12.0).listed_age_s)
--- a/tests/direct/test_fleetview.py
+++ b/tests/direct/test_fleetview.py
@@ -36,65 +36,65 @@
 
     def test_a_newer_lease_goes_before_a_later_update_of_an_older_one(self) -> None:
         view = FleetView(1.4)
-        self.assertTrue(view.take(update(5, 1, "new"), 10.0))
-        self.assertFalse(view.take(update(3, 99, "old"), 10.1))
+        self.assertTrue(view.apply_update(update(5, 1, "new"), 10.0))
+        self.assertFalse(view.apply_update(update(3, 99, "old"), 10.1))
         self.assertEqual(["new"], self.names(view, 10.2))
 
-    def test_the_list_shows_open_groups_when_no_holder_was_heard(self) -> None:
+    def test_the_list_shows_open_groups_without_an_update_from_a_holder(self) -> None:
         view = FleetView(1.4)
         members = (
             engine("a"),
             engine("b", 1, MemberPhase.READY),
             engine("c", 0, MemberPhase.READY),
         )
-        view.list((PLAIN, *members), 10.0, 10.0, NEVER_S)
+        view.apply_list((PLAIN, *members), 10.0, 10.0, NEVER_S)
         self.assertEqual(["g"], self.names(view, 10.1))
 
-    def test_the_last_update_stands_in_while_the_list_is_empty(self) -> None:
+    def test_the_last_update_is_used_while_the_list_is_empty(self) -> None:
         view = FleetView(1.4)
-        view.take(update(5, 1, "g9"), 10.0)
+        view.apply_update(update(5, 1, "g9"), 10.0)
         self.assertEqual(["g9"], self.names(view, 60.0))
 
     def test_a_target_that_left_the_list_is_leaving(self) -> None:
         view = FleetView(1.4)
-        view.list((PLAIN, engine("a"), engine("b")), 10.0, 10.0, NEVER_S)
-        view.list((PLAIN, replace(engine("a"), leaving=True)), 11.0, 11.0, NEVER_S)
+        view.apply_list((PLAIN, engine("a"), engine("b")), 10.0, 10.0, NEVER_S)
+        view.apply_list((PLAIN, replace(engine("a"), leaving=True)), 11.0, 11.0, NEVER_S)
         self.assertEqual({"a", "b"}, set(view.leaving))
 
-    def test_one_that_left_unannounced_stays_so_while_others_name_its_group(self) -> None:
+    def test_a_target_that_left_unannounced_stays_leaving_while_others_name_its_group(self) -> None:
         view = FleetView(1.4)
-        view.list((PLAIN, engine("a"), engine("b")), 10.0, 10.0, NEVER_S)
+        view.apply_list((PLAIN, engine("a"), engine("b")), 10.0, 10.0, NEVER_S)
         for now_s in (11.0, 12.0, 13.0):
-            view.list((PLAIN, engine("a")), now_s, now_s, NEVER_S)
+            view.apply_list((PLAIN, engine("a")), now_s, now_s, NEVER_S)
             self.assertEqual({"b"}, set(view.leaving))
 
     def test_targets_that_lapsed_in_an_outage_are_kept_for_a_while(self) -> None:
         view = FleetView(1.4)
-        view.list((PLAIN,), 10.0, 10.0, NEVER_S)
-        view.list((), 20.0, 20.0, 19.9)
+        view.apply_list((PLAIN,), 10.0, 10.0, NEVER_S)
+        view.apply_list((), 20.0, 20.0, 19.9)
         self.assertEqual((PLAIN,), view.plain_targets())
         self.assertEqual(set(), set(view.leaving))
-        view.list((), 22.2, 22.2, 19.9)
+        view.apply_list((), 22.2, 22.2, 19.9)
         self.assertEqual((), view.plain_targets())
         self.assertEqual({"p"}, set(view.leaving))
 
-    def test_one_that_announced_its_leave_stays_leaving_after_an_outage(self) -> None:
+    def test_a_target_that_announced_its_leave_stays_leaving_after_an_outage(self) -> None:
         view = FleetView(1.4)
-        view.list((PLAIN, engine("a"), engine("b")), 10.0, 10.0, NEVER_S)
-        view.list((PLAIN, replace(engine("a"), leaving=True), engine("b")), 20.0, 20.0, 19.9)
-        view.list((PLAIN,), 20.5, 20.5, 19.9)
+        view.apply_list((PLAIN, engine("a"), engine("b")), 10.0, 10.0, NEVER_S)
+        view.apply_list((PLAIN, replace(engine("a"), leaving=True), engine("b")), 20.0, 20.0, 19.9)
+        view.apply_list((PLAIN,), 20.5, 20.5, 19.9)
         self.assertEqual({"a"}, set(view.leaving))
-        view.list((PLAIN,), 22.2, 22.2, 19.9)
+        view.apply_list((PLAIN,), 22.2, 22.2, 19.9)
         self.assertEqual({"a", "b"}, set(view.leaving))
 
-    def test_the_list_is_stale_by_the_time_it_was_asked_for(self) -> None:
+    def test_the_age_of_the_list_counts_from_its_query(self) -> None:
         view = FleetView(1.4)
-        view.take(update(5, 1, age_s=1.0), 10.0)
-        self.assertFalse(view.stale(10.3))
-        self.assertTrue(view.stale(10.5))
+        view.apply_update(update(5, 1, age_s=1.0), 10.0)
+        self.assertFalse(view.list_is_stale(10.3))
+        self.assertTrue(view.list_is_stale(10.5))
 
     def test_engines_of_another_entrys_list_are_known_but_not_fresh(self) -> None:
         view = FleetView(1.4)
-        view.know_engines((PLAIN, engine("a")))
+        view.merge_engines((PLAIN, engine("a")))
         self.assertEqual(["a"], [each.instance for each in view.targets()])
-        self.assertTrue(view.stale(10.0))
+        self.assertTrue(view.list_is_stale(10.0))
--- a/tests/direct/test_homes.py
+++ b/tests/direct/test_homes.py
@@ -97,10 +97,12 @@
     def test_a_group_is_within_reach_only_with_all_its_members(self) -> None:
         groups = (self.group("east", E1), self.group("across", E1, W1), self.group("both", E1, E2))
         self.fleet.set_groups(groups)
-        places = self.fleet.places(SERVICE, LARGE.name, frozenset((E1, E2)))
+        places = self.fleet.eligible_groups(SERVICE, LARGE.name, frozenset((E1, E2)))
         self.assertEqual(["east", "both"], [each.group for each in places])
-        self.assertEqual(["east"], [g.group for g in self.fleet.places(SERVICE, None, {E1})])
-        self.assertEqual(3, len(self.fleet.places(SERVICE, LARGE.name)))
+        self.assertEqual(
+            ["east"], [g.group for g in self.fleet.eligible_groups(SERVICE, None, {E1})]
+        )
+        self.assertEqual(3, len(self.fleet.eligible_groups(SERVICE, LARGE.name)))
 
     def test_what_is_outside_is_chosen_neither_when_idle_nor_alone(self) -> None:
         near, far = self.group("near", E1), self.group("far", W1)
@@ -152,8 +154,8 @@
             self.member("i", 0, NOWHERE, MemberPhase.READY),
         )
         heard, read = FleetView(1.0), FleetView(1.0)
-        heard.know_engines(listed)
-        read.list(listed, 10.0, 10.0, NEVER_S)
+        heard.merge_engines(listed)
+        read.apply_list(listed, 10.0, 10.0, NEVER_S)
         for view in (heard, read):
             halls = {each.group: (each.hall, each.halls) for each in view.groups(10.0)}
             self.assertEqual({"g": (E1, (E1, W1)), "h": (E2, (E2,))}, halls)
--- a/tests/direct/test_relay.py
+++ b/tests/direct/test_relay.py
@@ -386,7 +386,7 @@
     def test_a_full_group_is_not_sent_more(self) -> None:
         async def work(running: Running) -> None:
 
-            running.fleet.set_elsewhere(NodeId("other"), Counter({"g0": 99}))
+            running.fleet.set_remote_work(NodeId("other"), Counter({"g0": 99}))
             answer = await running.ask()
             self.assertEqual(503, answer.status)
             self.assertEqual([], running.targets[0].seen)
--- a/tests/direct/test_sharing.py
+++ b/tests/direct/test_sharing.py
@@ -68,7 +68,7 @@
 
 
 class SharingCase(testtools.TestCase):
-    def on_world(self, entries: int, work: Any) -> None:
+    def run_world(self, entries: int, work: Any) -> None:
         def run(loop: VirtualLoop) -> None:
             world = SpreadWorld(loop, entries, 5)
             world.run(12.0)
@@ -88,7 +88,7 @@
         coordinator: Any = type("None_", (), {"configure": lambda *_: None})()
         return VersionSharing(entry.serving, entry.heartbeats, links, coordinator, TIMING)
 
-    def test_few_entries_all_ask_and_of_many_a_few(self) -> None:
+    def test_all_of_few_entries_query_the_store_and_two_of_many(self) -> None:
         def work(world: SpreadWorld) -> None:
             for entry in world.entries.values():
                 entry.serving.freshness.prove(world.now_s)
@@ -97,9 +97,9 @@
             self.assertEqual(2 if many else len(asking), sum(each is not None for each in asking))
 
         for entries in (5, 36):
-            self.on_world(entries, work)
+            self.run_world(entries, work)
 
-    def test_few_entries_do_not_wait_for_readers_that_may_be_cut_off_together(self) -> None:
+    def test_few_entries_do_not_depend_on_readers_that_may_be_cut_off_together(self) -> None:
         """Two of five entries read for all, both were cut, and a key was used 2.0 s too long."""
 
         def work(world: SpreadWorld) -> None:
@@ -108,9 +108,9 @@
                 self.assertEqual(TIMING.configuration_wait_s, self.versions(entry).question_s())
 
         for entries in (5, 16):
-            self.on_world(entries, work)
+            self.run_world(entries, work)
 
-    def test_an_entry_asks_itself_after_hearing_of_a_newer_version_or_of_none_for_long(
+    def test_an_entry_queries_the_store_for_a_newer_version_or_without_a_recent_proof(
         self,
     ) -> None:
         def work(world: SpreadWorld) -> None:
@@ -124,71 +124,71 @@
             world._loop.now_s += TIMING.configuration_follow_s + 0.1
             self.assertEqual(0.0, versions.question_s())
 
-        self.on_world(36, work)
+        self.run_world(36, work)
 
-    def test_a_head_hands_a_version_on_to_its_members(self) -> None:
+    def test_a_head_forwards_a_version_to_its_members(self) -> None:
         def work(world: SpreadWorld) -> None:
             head = self.head_with_members(world)
             self.versions(head).applied(Configuration(Version(9)))
             told = {peer for peer, each in self.links.sent if isinstance(each, ConfigurationUpdate)}
             self.assertEqual(set(head.heartbeats.members()), told)
 
-        self.on_world(36, work)
+        self.run_world(36, work)
 
 
 class FleetSharingTests(SharingCase):
-    def test_a_head_passes_news_on_to_its_members_but_not_back_nor_what_is_old(self) -> None:
+    def test_a_head_forwards_new_updates_to_its_members_but_not_to_the_sender(self) -> None:
         def work(world: SpreadWorld) -> None:
             head = self.head_with_members(world)
             members = head.heartbeats.members()
             part = sharing(head, self.links, self.log)
-            part.on_news(members[0], UPDATE)
-            part.on_news(members[0], OLDER)
+            part.on_fleet_message(members[0], UPDATE)
+            part.on_fleet_message(members[0], OLDER)
             told = [peer for peer, each in self.links.sent if each == UPDATE]
             self.assertEqual(sorted(members[1:], key=str), sorted(told, key=str))
-            self.assertTrue(head.fleet.has_engines(SERVICE))
+            self.assertTrue(head.fleet.has_serving_group(SERVICE))
 
-        self.on_world(36, work)
+        self.run_world(36, work)
 
-    def test_a_request_is_answered_with_the_whole_view(self) -> None:
+    def test_a_request_is_answered_with_the_full_view(self) -> None:
         def work(world: SpreadWorld) -> None:
             one, other = list(world.entries.values())[:2]
             part = sharing(one, self.links, self.log)
             part.on_request(other.me.peer, FleetRequest())
             self.assertEqual([], self.links.sent)
-            part.on_news(other.me.peer, UPDATE)
+            part.on_fleet_message(other.me.peer, UPDATE)
             part.on_request(other.me.peer, FleetRequest())
             peer, update = self.links.sent[-1]
             assert isinstance(update, FleetUpdate)
             self.assertEqual((other.me.peer, (GROUP,)), (peer, update.groups))
 
-        self.on_world(5, work)
+        self.run_world(5, work)
 
-    def test_a_new_holder_hands_on_what_the_last_one_told_until_it_has_asked_itself(self) -> None:
+    def test_a_new_holder_republishes_the_last_groups_until_it_has_polled_the_engines(self) -> None:
         def work(world: SpreadWorld) -> None:
             one, other = list(world.entries.values())[:2]
             part = sharing(one, self.links, self.log)
-            part.on_news(other.me.peer, UPDATE)
+            part.on_fleet_message(other.me.peer, UPDATE)
             one.lease.state, one.lease.taken_at = LeaseState.HELD, 7
             part.publish()
             told = [each for _, each in self.links.sent if isinstance(each, FleetUpdate)]
             self.assertEqual({(7, (GROUP,))}, {(e.lease_revision, e.groups) for e in told})
             self.assertEqual(len(world.entries) - 1, len(told))
 
-        self.on_world(5, work)
+        self.run_world(5, work)
 
-    def test_a_new_holder_without_a_view_tells_nothing(self) -> None:
+    def test_a_new_holder_without_a_view_publishes_nothing(self) -> None:
         def work(world: SpreadWorld) -> None:
             one = next(iter(world.entries.values()))
             one.lease.state, one.lease.taken_at = LeaseState.HELD, 7
             sharing(one, self.links, self.log).publish()
             self.assertEqual([], self.links.sent)
 
-        self.on_world(5, work)
+        self.run_world(5, work)
 
 
 class DependenciesTests(SharingCase):
-    def test_what_is_lost_and_regained_is_told_once(self) -> None:
+    def test_a_lost_or_regained_dependency_is_logged_once(self) -> None:
         def work(world: SpreadWorld) -> None:
             entry, lost = list(world.entries.values())[:2]
             dependencies = Dependencies(
@@ -208,4 +208,4 @@
             trusted = [f["trusted"] for name, f in self.log.events if name == "keys_trusted"]
             self.assertEqual([True, False], trusted)
 
-        self.on_world(5, work)
+        self.run_world(5, work)
--- a/tests/direct/test_spread.py
+++ b/tests/direct/test_spread.py
@@ -117,7 +117,7 @@
             teller, hearer = world.entries.values()
             update = FleetUpdate(5, 1, (), (), (), (), 0.0)
             for entry in (teller, hearer):
-                entry.view.take(update, world.now_s)
+                entry.view.apply_update(update, world.now_s)
             beat = teller.heartbeats._heartbeat(hearer.me.peer, NO_WORK, (), False, world.now_s)
             loop.now_s += 3.0
             hearer.heartbeats.receive(teller.me.peer, beat)
