--- a/packages/ochreway-direct/src/ochreway_direct/fleets/__init__.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Targets and groups as an entry knows them, and what is sent to each."""
+"""An entry's view of groups and targets, and the choice among them."""
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleet.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleet.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The groups and targets that an entry may send to, and what is under way at each."""
+"""Choose a group or target for each request, by the load that all entries put on it."""
 
 import random
 from collections import Counter, defaultdict
@@ -18,35 +18,36 @@
 from ochreway_routing.backoffs import Backoffs
 
 OTHER_HALL_LOAD = 0.5
-"""How many requests more a target of the own hall may have before another is preferred."""
+"""Load, in requests, that is added to targets in other halls, so that local ones are preferred."""
 JITTER_LOAD = 0.9
 SAMPLED_GROUPS = 3
-"""How many groups a choice is made among.
+"""Number of randomly sampled groups among which the best is chosen.
 
-Counts are some heartbeats old, so entries that all took the best group would take the same one.
-``python -m ochreway_standins.choicebench``: 36 entries, 38 groups, first part p99 0.28 s among
-all, 0.16 among two, 0.12 among three, 0.14 among five.
+Counts of other entries are a few heartbeats old, so if every entry took the globally best group,
+all would take the same one. ``python -m ochreway_standins.choicebench`` with 36 entries and 38
+groups: p99 to the first part of an answer is 0.28 s when choosing among all groups, 0.16 s among
+two, 0.12 s among three and 0.14 s among five.
 """
 FAST_PACE_FACTOR = 1.5
-"""By how much slower than the fastest a group may be to be drawn like it."""
+"""Groups up to this factor slower than the fastest one are sampled like it."""
 FIRST_ANSWER_TIMEOUT_S = 0.4
-"""How long a group that answers nobody yet may take for a first answer before it looks silent."""
+"""How long a group may take for its first answer before it counts as silent."""
 FIRST_TOKENS = 10
-"""How many tokens of an answer a place is chosen for: the first few events.
+"""Number of answer tokens that the expected time of a group covers: the first few events.
 
-More would send callers to groups that write fast and still have many prompts to read.
+A larger number would prefer groups that write fast but still have many prompts to read.
 """
 
 
 NO_VIEW = "0/0"
-"""Names the view of an entry that has none."""
+"""Name of the view of an entry that has none yet."""
 
 
 class Fleet:
-    """Choose the least loaded place for a call.
+    """Choose the least loaded group or target for a call.
 
-    What others have at each place is kept as a sum, so that a choice costs as much as there are
-    places that could take the call, however many entries there are.
+    The load from other entries is kept as one sum per target, so the cost of a choice depends on
+    the number of eligible targets and not on the number of entries.
     """
 
     def __init__(
@@ -59,10 +60,16 @@
         backoffs: Backoffs | None = None,
         gate: LimitGate | None = None,
     ) -> None:
-        """Start without places; with ``sampled``, choose the best of so many drawn at random.
-
-        ``limit`` bounds what each target gets from this entry; ``backoffs`` knows which of them
-        asked to get nothing for a while, or for good, and ``gate`` which named a limit.
+        """Start without groups and targets.
+
+        Args:
+            hall: the hall of this entry.
+            rng: source of randomness for sampling and jitter.
+            counts_unread: whether prompt tokens that are not read yet count as load.
+            sample_size: number of groups sampled for each choice; ``None`` considers all.
+            limit: bounds what each target gets from this entry.
+            backoffs: targets that asked for a backoff or announced that they leave.
+            gate: enforces the limits that targets announced.
         """
         self._hall = hall
         self.view_name = NO_VIEW
@@ -83,10 +90,10 @@
         self._remote_unread = RemoteCounts()
         self._health: dict[InstanceId, TargetHealth] = defaultdict(TargetHealth)
 
-    # What is learned.
+    # Updates of the view.
 
     def set_groups(self, groups: Iterable[GroupView], view_name: str = NO_VIEW) -> None:
-        """Replace the groups that serve, as a view named for the log shows them."""
+        """Replace the groups that serve; ``view_name`` identifies the view in the log."""
         self.view_name = view_name
         self._groups = {each.group: each for each in groups}
         self._by_service = defaultdict(list)
@@ -94,7 +101,7 @@
             self._by_service[group.service].append(group)
 
     def abandon(self, group: GroupId) -> None:
-        """End what runs at a group that has lost a member."""
+        """Abandon the attempts at a group that has lost a member."""
         for attempt in list(self._under_way.get(group, ())):
             attempt.abandon()
 
@@ -103,33 +110,33 @@
         self._targets = {each.instance: each for each in targets}
 
     def set_leaving(self, leaving: Iterable[InstanceId]) -> None:
-        """Replace the engines that leave; their groups get nothing new."""
+        """Replace the engines that are leaving; their groups get no new requests."""
         self._leaving = frozenset(leaving)
 
     def set_closed_halls(self, halls: frozenset[HallId]) -> None:
-        """Replace the halls that get nothing new."""
+        """Replace the halls that get no new requests."""
         self._closed_halls = halls
 
     def set_remote_work(
         self, source: str, counts: Mapping[str, int], unread: Mapping[str, int] | None = None
     ) -> None:
-        """Take what a source says is under way elsewhere, and the prompt tokens not read yet."""
+        """Replace a source's counts of attempts and unread prompt tokens at each target."""
         self._remote_load.set_report(source, counts)
         self._remote_unread.set_report(source, unread or {})
 
     def drop_remote_work(self, source: str) -> None:
-        """Drop what a source said."""
+        """Drop the counts of a source."""
         self._remote_load.drop_report(source)
         self._remote_unread.drop_report(source)
 
-    # What is asked.
+    # Queries and choices.
 
     def group(self, group: GroupId) -> GroupView | None:
-        """Return a group that serves."""
+        """Return a serving group, or None if it is not known."""
         return self._groups.get(group)
 
     def under_way(self) -> Counter[str]:
-        """Return how many attempts run at each place."""
+        """Return the number of this entry's attempts at each group or target."""
         return Counter(
             {target_id: len(each) for target_id, each in self._under_way.items() if each}
         )
@@ -140,7 +147,7 @@
         model: ModelName | None,
         within: frozenset[HallId] | None = None,
     ) -> list[GroupView]:
-        """Return the groups that may be given requests for a model, in some halls or in any."""
+        """Return the groups that may get requests for a model, within the given halls if any."""
         anywhere = within is None and not self._closed_halls
         return [
             each
@@ -152,7 +159,7 @@
         ]
 
     def _halls_allowed(self, halls: frozenset[HallId], within: frozenset[HallId] | None) -> bool:
-        """Tell whether all of some halls may be sent to."""
+        """Return whether requests may be sent to every one of these halls."""
         return not halls & self._closed_halls and (within is None or halls <= within)
 
     def all_halls_closed(
@@ -161,7 +168,7 @@
         model: ModelName | None,
         within: frozenset[HallId] | None = None,
     ) -> bool:
-        """Tell whether there are places for a model, all of them in halls that are closed."""
+        """Return whether a model has groups or targets, and each of them needs a closed hall."""
         if not self._closed_halls:
             return False
         group_halls = [
@@ -181,11 +188,11 @@
         model: ModelName | None,
         within: frozenset[HallId] | None = None,
     ) -> bool:
-        """Tell whether any group serves a model."""
+        """Return whether any eligible group serves a model."""
         return bool(self.eligible_groups(service, model, within))
 
     def silent_groups(self, now_s: float, silent_s: float) -> list[GroupId]:
-        """Return the groups where answers are awaited and none has begun or gone on for a while."""
+        """Return the groups with open attempts but no answer progress for ``silent_s``."""
         silent = []
         for group in self._groups:
             running = self._under_way.get(group)
@@ -194,7 +201,7 @@
         return silent
 
     def has_serving_group(self, service: ServiceName) -> bool:
-        """Tell whether any group of a service serves."""
+        """Return whether any group of a service is known to serve."""
         return bool(self._by_service.get(service))
 
     def pick_group(
@@ -208,9 +215,9 @@
         within: frozenset[HallId] | None = None,
         now_s: float = 0.0,
     ) -> GroupView | None:
-        """Return the group that is to take the least time, or None when all have no place left.
+        """Return the group with the least expected time, or None when all are full.
 
-        So many requests may wait at a group beside those in its slots.
+        A group may have ``max_queued`` requests waiting in addition to those in its slots.
         """
         candidates = [
             each
@@ -226,7 +233,7 @@
         )
 
     def _sample_groups(self, candidates: list[GroupView]) -> list[GroupView]:
-        """Return a few groups to choose among, of the fast ones while those have places."""
+        """Return a random sample of the candidates, limited to those about as fast as the best."""
         if not self._sample_size or len(candidates) <= self._sample_size:
             return candidates
         fastest = min(each.pace for each in candidates)
@@ -236,9 +243,9 @@
     def _expected_s(self, group: GroupView, spec: EngineSpec, prompt_tokens: int) -> float:
         """Return how long a group is expected to take for the first tokens of an answer.
 
-        It reads one prompt after the other, so those that it has not read yet come first. After
-        the loss of a group many callers' prompts are read again at once, which its number of
-        requests does not show.
+        A group reads prompts one after the other, so unread prompts delay a new one. After the
+        loss of another group many prompts are read again at once, which the number of requests
+        alone does not show.
         """
         load = self._load(group.group, group.hall)
         unread = self._unread_tokens(group.group) + prompt_tokens if self._counts_unread else 0
@@ -248,7 +255,7 @@
         return group.pace * (reading_s + writing_s + queueing_s)
 
     def unread(self) -> Counter[str]:
-        """Return how many prompt tokens each place has yet to read for this entry."""
+        """Return the number of this entry's prompt tokens that each group has yet to read."""
         return +self._unread
 
     def _unread_tokens(self, target_id: str) -> int:
@@ -261,7 +268,7 @@
         within: frozenset[HallId] | None = None,
         now_s: float = 0.0,
     ) -> ListedTarget | None:
-        """Return the plain target with the least work, failing ones last, or None."""
+        """Return the plain target with the lowest cost (load weighted by failures), or None."""
         candidates = [
             each
             for each in self._eligible_targets(service, within)
@@ -280,7 +287,7 @@
         within: frozenset[HallId] | None,
         now_s: float,
     ) -> float:
-        """Return how soon a place may be sent to again that the limit withholds; 0 if one may."""
+        """Return the shortest wait until a target may be sent to, 0 if one may be now."""
         waits_s = [
             max(
                 self._limit.wait_s(service, instance, now_s),
@@ -297,9 +304,9 @@
         within: frozenset[HallId] | None,
         now_s: float,
     ) -> float:
-        """Return how soon a place takes requests again when none does by what they asked.
+        """Return the shortest wait that the targets themselves requested.
 
-        It is 0 if one takes requests now, or if there is no place.
+        It is 0 if one accepts requests now, or if there is no target.
         """
         waits_s = (
             self._requested_wait_s(instance, born_ms, now_s)
@@ -314,14 +321,14 @@
         within: frozenset[HallId] | None,
         now_s: float,
     ) -> bool:
-        """Tell whether every place asked to be left alone; others may only have a limit."""
+        """Return whether every target requested a backoff; an announced limit does not count."""
         return all(
             self._backoffs.wait_s(instance, now_s, born_ms)
             for instance, born_ms in self._leaders_or_plain_targets(service, model, within)
         )
 
     def _requested_wait_s(self, instance: InstanceId, born_ms: int | None, now_s: float) -> float:
-        """Return for how long a target is to get nothing from this entry, by what it asked."""
+        """Return how long a target must get no requests, by its backoff and its limit."""
         backoff_s = self._backoffs.wait_s(instance, now_s, born_ms)
         if self._gate is None:
             return backoff_s
@@ -334,7 +341,7 @@
         within: frozenset[HallId] | None,
         now_s: float,
     ) -> int:
-        """Return how many groups of a model may be sent to now, by what they asked."""
+        """Return how many groups of a model accept requests now."""
         return sum(
             not self._requested_wait_s(each.leader, each.born_ms, now_s)
             for each in self.eligible_groups(service, model, within)
@@ -343,7 +350,10 @@
     def _leaders_or_plain_targets(
         self, service: ServiceName, model: ModelName | None, within: frozenset[HallId] | None
     ) -> list[tuple[InstanceId, int | None]]:
-        """Return who is sent to for a model, and which life of theirs: leaders if there are any."""
+        """Return the instances that requests for a model are sent to, with their start times.
+
+        These are the leaders of its groups, or the plain targets where there are no groups.
+        """
         groups = [
             (each.leader, each.born_ms) for each in self.eligible_groups(service, model, within)
         ]
@@ -354,7 +364,7 @@
     def _eligible_targets(
         self, service: ServiceName, within: frozenset[HallId] | None
     ) -> list[ListedTarget]:
-        """Return the plain targets that may be given requests, in some halls or in any."""
+        """Return the plain targets that may get requests, within the given halls if any."""
         anywhere = within is None and not self._closed_halls
         return [
             each
@@ -374,13 +384,13 @@
         return self.load(target_id) + hall_penalty + self._rng.random() * JITTER_LOAD
 
     def load(self, target_id: str) -> int:
-        """Return how many attempts all entries have at a place."""
+        """Return how many attempts all entries have at a group or target."""
         return len(self._under_way.get(target_id, ())) + self._remote_load.total(target_id)
 
-    # What is under way.
+    # Attempts under way.
 
     def begin(self, attempt: Attempt) -> None:
-        """Count an attempt at its place, as it is sent."""
+        """Count an attempt at its target, as it is sent."""
         self._limit.sent(attempt)
         if self._gate is not None:
             self._gate.sent(attempt)
@@ -388,7 +398,7 @@
         self._unread[attempt.place] += attempt.prompt_tokens
 
     def on_answer_part(self, attempt: Attempt, now_s: float) -> None:
-        """Note that a part of an answer came; the first shows that the prompt has been read."""
+        """Record that a part of an answer arrived; the first means that the prompt was read."""
         if attempt.heard_s is None:
             self._mark_prompt_read(attempt)
         if attempt.written_s is None:
@@ -401,7 +411,7 @@
             del self._unread[attempt.place]
 
     def end(self, attempt: Attempt, failed: bool, now_s: float = 0.0) -> None:
-        """Stop counting an attempt, and note how it went."""
+        """Stop counting an attempt, and record whether it failed."""
         if attempt.written_s is None:
             attempt.written(max(now_s, attempt.begun_s))
         running = self._under_way[attempt.place]
@@ -414,12 +424,12 @@
 
 
 def halls_of(group: GroupView) -> frozenset[HallId]:
-    """Return every hall that a group needs."""
+    """Return every hall that a group depends on."""
     return frozenset((group.hall, *group.halls))
 
 
 def _last_progress_s(running: Collection[Attempt]) -> float:
-    """Return when a group last gave a part of an answer, or should have given the first."""
+    """Return when the last part of an answer arrived, or when the first one was due."""
     received_s = [attempt.heard_s for attempt in running if attempt.heard_s is not None]
     if received_s:
         return max(received_s)
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleetpublisher.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleetpublisher.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What the holder of the lease tells of the fleet, and only when it is news."""
+"""Build the fleet updates that the lease holder publishes when something has changed."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetContent:
-    """Hold what there is to tell: groups, lost ones, plain targets, instances that leave."""
+    """Hold the published state: groups, lost groups, plain targets and leaving instances."""
 
     groups: dict[GroupId, GroupView]
     lost: frozenset[GroupId]
@@ -27,13 +27,13 @@
         targets: Iterable[ListedTarget],
         leaving: Iterable[InstanceId],
     ) -> "FleetContent":
-        """Return the content made of these."""
+        """Build the content from its parts."""
         views = {each.group: each for each in groups}
         return cls(views, frozenset(lost), frozenset(targets), frozenset(leaving))
 
 
 class FleetPublisher:
-    """Turn contents into one whole update for each lease, and changes after it."""
+    """Turn contents into one full update for each lease, followed by incremental changes."""
 
     def __init__(self) -> None:
         self._lease_revision = 0
@@ -43,7 +43,7 @@
     def next_message(
         self, lease_revision: int, content: FleetContent, listed_age_s: float | None
     ) -> FleetUpdate | FleetChange | None:
-        """Return what is to be told now, or None when there is no news."""
+        """Return the message to publish now, or None when nothing has changed."""
         if lease_revision != self._lease_revision:
             self._lease_revision, self._sequence, self._published = lease_revision, 0, None
         before, self._published = self._published, content
@@ -82,7 +82,7 @@
 
 
 def _has_changed(before: FleetContent, content: FleetContent) -> bool:
-    """Tell whether more is new than that lost groups are named no longer."""
+    """Return whether the content differs, apart from lost groups that are no longer listed."""
     return (
         content.groups != before.groups
         or content.targets != before.targets
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleetsharing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleetsharing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Learning the fleet, from the list or from the holder of the lease, and passing it on."""
+"""Maintain the view of the fleet from the list and the lease holder, and forward it."""
 
 import asyncio
 
@@ -22,17 +22,17 @@
 from ochreway_wire.links import Links
 
 LIST_SHARE_INTERVAL_S = 2.0
-"""How often the holder hands the whole list on, so that another can take over without the store."""
+"""How often the holder sends the full list, so that another can take over without the store."""
 MAX_TARGETS_SHARED_PER_S = 150.0
-"""How many targets a second are handed on at the most; each takes its receiver some 50 us."""
+"""Maximum rate of targets sent, as decoding each takes the receiver some 50 us."""
 SUCCESSORS = 4
-"""How many entries are handed the list, the first to take the lease if its holder is lost."""
+"""How many entries get the list: the first in line for the lease if its holder is lost."""
 INHERITED_GROUPS_MAX_AGE_S = 5.0
-"""How old a view may be that a new holder hands on until it has asked the engines itself."""
+"""Maximum age of the groups that a new holder republishes until it has polled the engines."""
 
 
 class FleetSharing:
-    """Keep this entry's view, publish it as holder of the lease, pass on what others publish."""
+    """Maintain this entry's view, publish it as lease holder, and forward published updates."""
 
     def __init__(
         self,
@@ -61,14 +61,14 @@
         self._loop = asyncio.get_running_loop()
         self._last_shared_s = 0.0
 
-    # The list of targets.
+    # List of targets.
 
     def reads_list(self) -> bool:
-        """Tell whether this entry reads the list itself: as holder, or with none to hear."""
+        """Return whether this entry reads the list itself: as holder, or without a fresh one."""
         return self._lease.held or self._view.list_is_stale(self._loop.time())
 
     def on_list_read(self, reading: TargetReading) -> None:
-        """Take the list as this entry has read it."""
+        """Apply and publish the list that this entry has read."""
         targets = reading.targets
         now_s = self._loop.time()
         known = len(self._view.targets())
@@ -85,7 +85,7 @@
         self._view.apply_list(targets, asked_s, now_s, self._health.regained_s)
 
     def _share_list(self, targets: tuple[ListedTarget, ...]) -> None:
-        """Hand the list on: to those that may hold the lease next, or to a holder that lacks it."""
+        """Send the list to the next entries in line, or to a holder that may not have it."""
         now_s = self._loop.time()
         holder = self._peers.holder(now_s)
         update = ListUpdate(targets, self._view.listed_age_s(now_s) or 0.0)
@@ -97,24 +97,24 @@
             self._links.send(holder, update)
 
     def on_list(self, _: Peer, update: ListUpdate) -> None:
-        """Take a list that another entry has read."""
+        """Apply a list that another entry has read."""
         now_s = self._loop.time()
         if not self._lease.held:
             self._view.merge_engines(update.targets)
         elif self._view.list_is_stale(now_s):
             self._apply_list(update.targets, now_s - update.age_s, now_s)
 
-    # The groups.
+    # Groups.
 
     def begin_coordinating(self, epoch: Epoch) -> None:
-        """Form groups from now on, with epochs above the one given."""
+        """Begin forming groups as lease holder, with epochs above the one given."""
         now_s = self._loop.time()
         self._coordination.begin(
             epoch, self._view.targets(), self._view.last_models, now_s, self._health.regained_s
         )
 
     def publish(self) -> None:
-        """Tell the other entries what is new of the fleet, as its holder."""
+        """Publish changes of the fleet to the other entries, if this one holds the lease."""
         now_s = self._loop.time()
         if not self._lease.held:
             return
@@ -132,13 +132,13 @@
         self._apply(message)
 
     def _groups_to_publish(self, now_s: float) -> tuple[GroupView, ...] | None:
-        """Return the groups that serve; until the engines were asked, those of the last holder."""
+        """Return the serving groups; those of the last holder until the engines were polled."""
         if self._coordination.coordinator.started:
             return self._coordination.coordinator.views()
         return self._view.last_published_groups(now_s, INHERITED_GROUPS_MAX_AGE_S)
 
     def on_fleet_message(self, sender: Peer, message: FleetUpdate | FleetChange) -> None:
-        """Take what the holder tells, and hand it on to those who hear of it only through here."""
+        """Apply a message from the holder, and forward it to members that rely on this entry."""
         if self._apply(message):
             others = [peer for peer in self._heartbeats.members() if peer != sender]
             self._links.send_all(others, message)
@@ -157,13 +157,13 @@
         return applied
 
     def on_request(self, sender: Peer, _: FleetRequest) -> None:
-        """Hand the whole view to an entry whose own is older."""
+        """Send the full view to an entry whose own is older."""
         update = self._view.full_update(self._loop.time())
         if update is not None:
             self._links.send(sender, update)
 
     def update_fleet(self) -> None:
-        """Have requests sent by what the view shows now."""
+        """Route requests by the current view."""
         now_s = self._loop.time()
         mark = self._view.mark(now_s)
         view_name = f"{mark.lease_revision}/{mark.sequence}"
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleetview.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleetview.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What an entry believes the fleet to be, from the holder of the lease or from the list."""
+"""An entry's view of the fleet, from the lease holder's updates or from the platform's list."""
 
 from collections import defaultdict
 from collections.abc import Mapping
@@ -15,11 +15,11 @@
 
 NEVER_S = -1.0e9
 UPDATE_MAX_AGE_S = 5.0
-"""For how long the last update goes before the list when no holder is heard."""
+"""Maximum age at which the last update takes precedence over the list."""
 
 
 class FleetView:
-    """Keep the newest update and list; go by the list while no update is recent."""
+    """Keep the newest update and list; use the list while no update is recent."""
 
     def __init__(self, stale_s: float) -> None:
         self._stale_s = stale_s
@@ -34,18 +34,18 @@
 
     @property
     def leaving(self) -> frozenset[InstanceId]:
-        """Return the instances that have announced that they leave, or just left the list."""
+        """Return the instances that announced that they leave, or have just left the list."""
         return self._leaving
 
     @property
     def has_update(self) -> bool:
-        """Tell whether any update was taken."""
+        """Return whether any update was applied."""
         return self._update is not None
 
     def mark(self, now_s: float) -> FleetMark:
-        """Return which view this is, its age, and that of the list that its targets are from.
+        """Return the version and age of this view, and the age of the list behind its targets.
 
-        A list that this entry has read itself may be newer, but is not what the view tells.
+        A list that this entry has read itself may be newer, but is not part of the update.
         """
         if self._update is None:
             return FleetMark()
@@ -54,22 +54,22 @@
         return FleetMark(*_version_of(self._update), now_s - self._updated_s, listed_age_s)
 
     def renew_update(self, now_s: float) -> None:
-        """Note that the holder, this entry, stands by the newest update and its targets."""
+        """Mark the newest update and its targets as current, as their publisher."""
         self._updated_s = now_s
         self._update_listed_s = self._listed_s
 
     def last_published_groups(self, now_s: float, max_age_s: float) -> tuple[GroupView, ...] | None:
-        """Return the groups of the newest update, or None when it is too old to go by."""
+        """Return the groups of the newest update, or None when it is older than ``max_age_s``."""
         if self._update is None or now_s - self._updated_s > max_age_s:
             return None
         return self._update.groups
 
     def is_older_than(self, mark: FleetMark) -> bool:
-        """Tell whether another entry's view is newer."""
+        """Return whether another entry's view is newer."""
         return (mark.lease_revision, mark.sequence) > _version_of(self._update)
 
     def full_update(self, now_s: float) -> FleetUpdate | None:
-        """Return the newest update, with the list as it is known by now."""
+        """Return the newest update, completed with the current list."""
         if self._update is None:
             return None
         return replace(
@@ -81,7 +81,7 @@
         )
 
     def apply_update(self, update: FleetUpdate, now_s: float) -> bool:
-        """Take an update unless a newer one is known; return whether it was taken."""
+        """Apply an update unless a newer one is known; return whether it was applied."""
         if _version_of(update) < _version_of(self._update):
             return False
         self._update = update
@@ -91,7 +91,7 @@
         return True
 
     def apply_change(self, change: FleetChange, now_s: float) -> bool:
-        """Take a change if it is the next one of the same lease; return whether it was."""
+        """Apply a change if it is the next one of the same lease; return whether it was."""
         if self._update is None or _version_of(self._update) != _version_of(change, -1):
             return False
         replaced = {*change.gone, *(each.group for each in change.groups)}
@@ -107,11 +107,14 @@
         return self.apply_update(update, now_s)
 
     def confirm(self, mark: FleetMark, now_s: float) -> bool:
-        """Take it that the holder stood by this view a while ago; return whether the list is newer.
+        """Renew this view when another entry reports the same one as current.
 
         Args:
-            mark: what another entry says of its view; only the same one counts.
-            now_s: the time.
+            mark: version and ages of the other entry's view; ignored unless it is the same view.
+            now_s: the current time.
+
+        Returns:
+            Whether the targets of the update were applied, because their list is newer.
         """
         if self._update is None or _version_of(self._update) != (
             mark.lease_revision,
@@ -122,7 +125,7 @@
         return self._apply_listed_targets(self._update, mark.listed_age_s, now_s)
 
     def _apply_listed_targets(self, update: FleetUpdate, age_s: float | None, now_s: float) -> bool:
-        """Go by an update's targets if their list is newer than the own one."""
+        """Use an update's targets if their list is newer than this entry's own."""
         if age_s is None:
             return False
         self._update_listed_s = max(self._update_listed_s, now_s - age_s)
@@ -137,9 +140,10 @@
     def apply_list(
         self, targets: tuple[ListedTarget, ...], asked_s: float, now_s: float, regained_s: float
     ) -> None:
-        """Take the platform's list as it was read by this entry.
+        """Apply the platform's list as read by this entry.
 
-        Targets that may have lapsed in an outage, which ended at ``regained_s``, stay known.
+        Targets whose registration may have lapsed in an outage that ended at ``regained_s`` stay
+        known for a while.
         """
         listed_targets = {each.instance: each for each in targets}
         announced = {each.instance for each in targets if each.leaving}
@@ -153,14 +157,14 @@
         self._listed_s = max(self._listed_s, asked_s)
 
     def merge_engines(self, targets: tuple[ListedTarget, ...]) -> None:
-        """Take another entry's list of engines, for the time when this one forms groups."""
+        """Apply another entry's list of engines, which is needed if this one becomes the holder."""
         plain = {i: t for i, t in self._targets.items() if t.engine is None}
         engines = {each.instance: each for each in targets if each.engine is not None}
         self._targets = plain | engines
         self.last_models.note(targets)
 
     def list_is_stale(self, now_s: float) -> bool:
-        """Tell whether the list has to be read by this entry itself."""
+        """Return whether the list is too old, so that this entry has to read it itself."""
         return now_s - self._listed_s > self._stale_s
 
     def listed_age_s(self, now_s: float) -> float | None:
@@ -168,7 +172,7 @@
         return now_s - self._listed_s if self._listed_s > NEVER_S else None
 
     def targets(self) -> tuple[ListedTarget, ...]:
-        """Return every target of the list."""
+        """Return all listed targets, engines included."""
         return tuple(self._targets.values())
 
     def plain_targets(self) -> tuple[ListedTarget, ...]:
@@ -176,7 +180,7 @@
         return tuple(each for each in self._targets.values() if each.engine is None)
 
     def groups(self, now_s: float) -> tuple[GroupView, ...]:
-        """Return the groups that serve."""
+        """Return the serving groups, from a recent update, the list or an older update."""
         if self._update is not None and now_s - self._updated_s < UPDATE_MAX_AGE_S:
             return self._update.groups
         halls = self._halls_of_members()
@@ -185,7 +189,7 @@
         return listed or (self._update.groups if self._update is not None else ())
 
     def _halls_of_members(self) -> dict[tuple[GroupId, Epoch], set[HallId]]:
-        """Return the halls of each group's members, as far as they are listed."""
+        """Return the halls of each group's listed members."""
         members_halls: dict[tuple[GroupId, Epoch], set[HallId]] = defaultdict(set)
         for target in self._targets.values():
             membership = target.engine.membership if target.engine is not None else None
@@ -201,7 +205,7 @@
 def _listed_group(
     target: ListedTarget, halls: Mapping[tuple[GroupId, Epoch], set[HallId]]
 ) -> GroupView | None:
-    """Return the group that a listed engine leads and has open, if any."""
+    """Return the open group that a listed engine leads, if any."""
     state = target.engine
     if state is None or state.membership is None or state.model is None or target.leaving:
         return None
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/groupview.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/groupview.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A group as entries route to it."""
+"""Routing information of a group."""
 
 from dataclasses import dataclass
 
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupView:
-    """Hold what an entry needs to send requests to a group that serves.
+    """Hold what an entry needs to send requests to a serving group.
 
-    ``halls`` are those of all its members; a group needs each of them. ``born_ms`` names the life
-    of the leader, where that is known.
+    ``halls`` are the halls of all members; the group depends on each of them. ``born_ms`` is the
+    start time of the leader's process, which identifies its incarnation, if known.
     """
 
     group: GroupId
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/remotecounts.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/remotecounts.py
@@ -1,19 +1,19 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Numbers that several entries report for each place, and their sums."""
+"""Counts that other entries report for each group or target, and their sums."""
 
 from collections import Counter
 from collections.abc import Mapping
 
 
 class RemoteCounts:
-    """Keep the newest numbers of each reporter, and the sum for each place as they change."""
+    """Keep the latest counts of each source, and a running sum for each target."""
 
     def __init__(self) -> None:
         self._reports: dict[str, Mapping[str, int]] = {}
         self._totals: Counter[str] = Counter()
 
     def set_report(self, source: str, numbers: Mapping[str, int]) -> None:
-        """Replace what a reporter said."""
+        """Replace the counts of a source."""
         before = self._reports.get(source, {})
         if numbers == before:
             return
@@ -22,11 +22,11 @@
         self._subtract(before)
 
     def drop_report(self, source: str) -> None:
-        """Forget what a reporter said."""
+        """Drop the counts of a source."""
         self._subtract(self._reports.pop(source, {}))
 
     def total(self, target_id: str) -> int:
-        """Return the sum for a place over all reporters."""
+        """Return the sum for a target over all sources."""
         return self._totals[target_id]
 
     def _subtract(self, numbers: Mapping[str, int]) -> None:
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/targethealth.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/targethealth.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How often requests to one target failed lately."""
+"""Recent failure rate of a target."""
 
 from dataclasses import dataclass
 
@@ -9,16 +9,16 @@
 
 @dataclass(slots=True)
 class TargetHealth:
-    """Hold a moving average of failures."""
+    """Hold an exponential moving average of failures."""
 
     failure_rate: float = 0.0
 
     def record_attempt(self, failed: bool) -> None:
-        """Take the end of one attempt."""
+        """Record the outcome of one attempt."""
         self.failure_rate += SMOOTHING_WEIGHT * (float(failed) - self.failure_rate)
 
     def penalty(self) -> float:
-        """Return by how much the target is to be avoided; 1 when nothing failed."""
+        """Return the cost factor of the target; 1 when nothing failed."""
         return 1.0 + MAX_EXTRA_PENALTY * self.failure_rate
 
 
--- a/tests/direct/test_closedhalls.py
+++ b/tests/direct/test_closedhalls.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Nothing further goes to a closed hall, and where there is no other callers hear at once."""
+"""A closed hall gets no new requests; without another one, callers are refused at once."""
 
 import asyncio
 import random
@@ -103,7 +103,7 @@
     resumable = True
 
     def closing(self, breaks: bool) -> tuple[bytes, list[int]]:
-        """Close the hall of the first target while it answers; return the answer and who ran."""
+        """Close the first target's hall while it answers; return the answer and each run count."""
         results: list[tuple[bytes, list[int]]] = []
 
         async def first(headers: Headers, writer: asyncio.StreamWriter) -> None:
--- a/tests/direct/test_sharing.py
+++ b/tests/direct/test_sharing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What an entry tells and asks by its part among the others."""
+"""What an entry sends, forwards and queries depending on its role among the entries."""
 
 from typing import Any
 
@@ -37,7 +37,7 @@
 
 
 class RecordedLinks:
-    """Keep what is sent."""
+    """Record the messages sent."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[Peer, object]] = []
@@ -100,7 +100,7 @@
             self.run_world(entries, work)
 
     def test_few_entries_do_not_depend_on_readers_that_may_be_cut_off_together(self) -> None:
-        """Two of five entries read for all, both were cut, and a key was used 2.0 s too long."""
+        """With two readers for five entries, both cut off, a key was used 2.0 s too long."""
 
         def work(world: SpreadWorld) -> None:
             for entry in world.entries.values():
