--- a/packages/ochreway-direct/src/ochreway_direct/bounds/meanswatch.py
+++ b/packages/ochreway-direct/src/ochreway_direct/bounds/meanswatch.py
@@ -105,7 +105,7 @@
         routes = self._serving.routes
         services = routes.configuration.services if routes is not None else ()
         allowed = [s.connections_at_most for s in services if s.connections_at_most]
-        entries = 1 + len(self._peers.all())
+        entries = 1 + len(self._peers.all_peers())
         self.resting.at_one = max(1, min(allowed) // entries) if allowed else None
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/crashes/crashspread.py
+++ b/packages/ochreway-direct/src/ochreway_direct/crashes/crashspread.py
@@ -73,7 +73,7 @@
         """Take what another entry tells, and pass on what is news."""
         found = self._watch.hear(news.sightings, self._loop.time())
         if found:
-            audience = self._heartbeats.audience_of(sender.node)
+            audience = self._heartbeats.forwarding_peers(sender.node)
             self._send(found, [peer for peer in audience if peer.node != sender.node])
 
     def _send(self, fingerprints: list[Fingerprint], peers: list[Peer]) -> None:
--- a/packages/ochreway-direct/src/ochreway_direct/dependencies.py
+++ b/packages/ochreway-direct/src/ochreway_direct/dependencies.py
@@ -51,7 +51,7 @@
     def _check_entries(self, now_s: float) -> None:
         """Tell of entries that fell silent or are heard again, not of those never in touch."""
         heard = frozenset(record.peer.node for record in self._peers.alive(now_s))
-        silent = self._heard & self._peers.in_touch() - heard
+        silent = self._heard & self._peers.expected_nodes() - heard
         if silent:
             self._log.event("entries_silent", entries=",".join(sorted(silent)))
         if heard - self._heard:
--- a/packages/ochreway-direct/src/ochreway_direct/entries/cells.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/cells.py
@@ -15,11 +15,11 @@
 from ochreway_core.rendezvous import rank
 from ochreway_direct.ids import CellId
 
-MESH_ENTRIES = 24
+MAX_MESH_ENTRIES = 24
 """Up to how many entries all tell all: below it the heads would be most of the entries."""
 CELL_ENTRIES = 16
 """How many entries a cell has on average at most; a head's messages grow with it."""
-READERS = 2
+STORE_READERS = 2
 """How many entries ask the store for a newer configuration on behalf of the others, above a mesh.
 
 In a mesh each asks itself. With two readers of five, both cut off in the same moment, the others
@@ -27,7 +27,7 @@
 asks only once its newest proof is older than proofs usually are, 2.7 s. All asking costs 0.009 of
 worth among 16 entries, as calls to the store.
 """
-HEADS = 2
+HEADS_PER_CELL = 2
 """How many entries speak for a cell, so that one may be lost or frozen unnoticed by users."""
 
 
@@ -48,12 +48,14 @@
     or not at all for a moment, which concerns the choice of places only.
     """
 
-    def __init__(self, entries: Iterable[Candidate], mesh_entries: int = MESH_ENTRIES) -> None:
+    def __init__(self, entries: Iterable[Candidate], mesh_entries: int = MAX_MESH_ENTRIES) -> None:
         known = sorted(entries, key=lambda each: (-each.strength, each.node))
         self.meshed = len(known) <= mesh_entries
-        self._cells = _meshed(known) if self.meshed else _by_hall(known)
-        self._cell_of = {e.node: cell for cell, found in self._cells.items() for e in found}
-        self._heads = {cell: _heads(found) for cell, found in self._cells.items()}
+        self._cells = _single_cells(known) if self.meshed else _cells_by_hall(known)
+        self._cell_of = {
+            e.node: cell for cell, members_of in self._cells.items() for e in members_of
+        }
+        self._heads = {cell: _heads(members_of) for cell, members_of in self._cells.items()}
 
     def cell(self, node: NodeId) -> CellId:
         """Return the cell of an entry that is known."""
@@ -75,7 +77,7 @@
         """Return the entries that ask the store for all: the first heads of a few cells."""
         if self.meshed:
             return tuple(self._cell_of)
-        cells = sorted(self._heads)[:READERS]
+        cells = sorted(self._heads)[:STORE_READERS]
         return tuple(self._heads[cell][0] for cell in cells)
 
     def is_head(self, node: NodeId) -> bool:
@@ -87,15 +89,15 @@
         own = self.cell(node)
         if not self.is_head(node):
             return self.heads(own)
-        found = dict.fromkeys((*self.members(own), *self.all_heads()))
-        return tuple(each for each in found if each != node)
+        nodes = dict.fromkeys((*self.members(own), *self.all_heads()))
+        return tuple(each for each in nodes if each != node)
 
 
-def _meshed(known: list[Candidate]) -> dict[CellId, list[Candidate]]:
+def _single_cells(known: list[Candidate]) -> dict[CellId, list[Candidate]]:
     return {CellId(entry.node): [entry] for entry in known}
 
 
-def _by_hall(known: list[Candidate]) -> dict[CellId, list[Candidate]]:
+def _cells_by_hall(known: list[Candidate]) -> dict[CellId, list[Candidate]]:
     """Share the entries of each hall out; a change moves few of them."""
     halls: dict[HallId, list[Candidate]] = defaultdict(list)
     for entry in known:
@@ -110,7 +112,7 @@
 
 def _heads(entries: list[Candidate]) -> tuple[NodeId, ...]:
     trusted = [entry for entry in entries if entry.trusted] or entries
-    return tuple(entry.node for entry in trusted[:HEADS])
+    return tuple(entry.node for entry in trusted[:HEADS_PER_CELL])
 
 
-__all__ = ["CELL_ENTRIES", "HEADS", "MESH_ENTRIES", "Candidate", "Cells"]
+__all__ = ["CELL_ENTRIES", "HEADS_PER_CELL", "MAX_MESH_ENTRIES", "Candidate", "Cells"]
--- a/packages/ochreway-direct/src/ochreway_direct/entries/elsewhere.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/remotework.py
@@ -11,9 +11,9 @@
 from ochreway_direct.ids import CellId, ModelName
 from ochreway_direct.work import NO_WORK, Work, total
 
-SOURCE_TRUSTED_S = 0.75
+SOURCE_TIMEOUT_S = 0.75
 """How long one head's word goes before the other's: two heartbeats and some delay."""
-COUNTS_TRUSTED_S = 2.0
+COUNTS_MAX_AGE_S = 2.0
 """After how long counts that nobody renews are dropped; most of what they counted has ended."""
 
 
@@ -24,11 +24,11 @@
 class _Report:
     source: NodeId
     coverage: Coverage
-    heard_s: float
+    received_s: float
     work: Work
 
 
-class Elsewhere:
+class RemoteWork:
     """Hold one report for each source of counts, none of which is counted twice.
 
     A head counts its members and the other cells; everybody else goes by what one head says of
@@ -40,7 +40,7 @@
         self._fleet = fleet
         self._reports: dict[str, _Report] = {}
 
-    def take(
+    def add_report(
         self,
         sender: NodeId,
         coverage: Coverage,
@@ -62,7 +62,7 @@
         """
         key = _key(sender, coverage, cell)
         known = self._reports.get(key)
-        if known and known.source != sender and now_s - known.heard_s < SOURCE_TRUSTED_S:
+        if known and known.source != sender and now_s - known.received_s < SOURCE_TIMEOUT_S:
             return
         self._reports[key] = _Report(sender, coverage, now_s, work)
         self._fleet.set_remote_work(key, work.under_way, work.unread)
@@ -70,15 +70,17 @@
         self._drop_all(others if coverage is Coverage.REST else {REST_KEY})
         if coverage is not Coverage.REST:
             counted = {sender, *covered}
-            self._drop_all({k for k in others & self._reports.keys() if self._by(k) in counted})
+            self._drop_all(
+                {k for k in others & self._reports.keys() if self._source_of(k) in counted}
+            )
 
-    def _by(self, key: str) -> NodeId:
+    def _source_of(self, key: str) -> NodeId:
         return self._reports[key].source
 
     def expire(self, now_s: float) -> None:
         """Drop what has not been renewed for a while."""
-        old = {k for k, r in self._reports.items() if now_s - r.heard_s > COUNTS_TRUSTED_S}
-        self._drop_all(old)
+        expired = {k for k, r in self._reports.items() if now_s - r.received_s > COUNTS_MAX_AGE_S}
+        self._drop_all(expired)
 
     def _drop_all(self, keys: set[str]) -> None:
         for key in keys & self._reports.keys():
@@ -86,40 +88,40 @@
             self._fleet.drop_remote_work(key)
 
     @property
-    def adds_up(self) -> bool:
+    def has_cell_reports(self) -> bool:
         """Tell whether single cells or entries are counted, not one sum of all the rest."""
         return any(r.coverage is Coverage.CELL for r in self._reports.values())
 
-    def of_members(self) -> list[Work]:
+    def member_work(self) -> list[Work]:
         """Return what each member of the own cell said of itself."""
         return [r.work for r in self._reports.values() if r.coverage is Coverage.OWN]
 
-    def of(self, node: NodeId) -> Work:
+    def work_of(self, node: NodeId) -> Work:
         """Return what an entry said of itself."""
         report = self._reports.get(_key(node, Coverage.OWN, CellId("")))
         return report.work if report is not None else NO_WORK
 
-    def asked_by_source(self) -> Counter[NodeId]:
+    def offered_by_source(self) -> Counter[NodeId]:
         """Return the work that arrives at each entry that reports, and where it speaks for others.
 
         It is in groups kept busy.
         """
-        found: Counter[NodeId] = Counter()
+        rates: Counter[NodeId] = Counter()
         for report in self._reports.values():
             if report.coverage is not Coverage.REST:
-                found[report.source] += sum(report.work.offered.values())  # type: ignore[assignment]
-        return found
+                rates[report.source] += sum(report.work.offered.values())  # type: ignore[assignment]
+        return rates
 
-    def everything(self) -> Work:
+    def total_work(self) -> Work:
         """Return all work but the own."""
         return total(report.work for report in self._reports.values())
 
     def offered(self) -> Counter[ModelName]:
         """Return the work that arrives elsewhere, for each model."""
-        found: Counter[ModelName] = Counter()
+        rates: Counter[ModelName] = Counter()
         for report in self._reports.values():
-            found.update(report.work.offered)
-        return found
+            rates.update(report.work.offered)
+        return rates
 
 
 def _key(sender: NodeId, coverage: Coverage, cell: CellId) -> str:
@@ -131,4 +133,4 @@
     return keys[coverage]
 
 
-__all__ = ["COUNTS_TRUSTED_S", "SOURCE_TRUSTED_S", "Elsewhere"]
+__all__ = ["COUNTS_MAX_AGE_S", "SOURCE_TIMEOUT_S", "RemoteWork"]
--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -278,7 +278,7 @@
     def _asked(self, now_s: float) -> dict[NodeId, float]:
         """Return what each entry in touch is asked for, in groups kept busy."""
         own = sum(self.meter.offered(now_s).values())
-        return {**self._heartbeats.elsewhere.asked_by_source(), self.me.node: own}
+        return {**self._heartbeats.remote_work.offered_by_source(), self.me.node: own}
 
     def spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         """Run a task of this process until it ends or the process stops."""
@@ -353,7 +353,7 @@
 
     def _share_retries(self) -> None:
         """Take this entry's part of the repeats that all entries may make."""
-        entries = 1 + max(len(self.peers.all()), len(self.settings.peer) - 1)
+        entries = 1 + max(len(self.peers.all_peers()), len(self.settings.peer) - 1)
         self.retry_budget.at_most = self.settings.retries_at_once / entries
 
     # Groups.
@@ -404,7 +404,7 @@
             self.suspect(group)
 
     def _take_demand(self, now_s: float) -> None:
-        offered = self._heartbeats.elsewhere.offered()
+        offered = self._heartbeats.remote_work.offered()
         offered.update(self.meter.offered(now_s))
         self.coordination.coordinator.demand.update(offered, now_s)
 
@@ -445,11 +445,11 @@
         self._step_soon()
 
     def _on_link_up(self, peer: Peer) -> None:
-        self.peers.met(peer, self._loop.time())
+        self.peers.add_linked(peer, self._loop.time())
         self._crash_spread.met(peer)
 
     def _on_link_down(self, node: NodeId) -> None:
-        self.peers.lost_link(node, self._loop.time())
+        self.peers.on_link_lost(node, self._loop.time())
         self._lease_keeper.on_link_down(node)
 
     def _on_suspicion(self, _: Peer, suspicion: Suspicion) -> None:
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleetsharing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleetsharing.py
@@ -128,7 +128,7 @@
         if message is None:
             self._view.renew_update(now_s)
             return
-        self._links.send_all(self._heartbeats.audience(), message)
+        self._links.send_all(self._heartbeats.publication_peers(), message)
         self._apply(message)
 
     def _groups_to_publish(self, now_s: float) -> tuple[GroupView, ...] | None:
--- a/packages/ochreway-direct/src/ochreway_direct/leases/leasekeeper.py
+++ b/packages/ochreway-direct/src/ochreway_direct/leases/leasekeeper.py
@@ -81,7 +81,7 @@
             writer.close()
         except ConnectionError:
             self._log.event("holder_ended", holder=holder.node)
-            self._peers.ended(holder.node, self._loop.time())
+            self._peers.on_process_ended(holder.node, self._loop.time())
             self._lease.note_ended(holder.node)
         except (TimeoutError, OSError):
             self._log.detail("holder_unreachable", holder=holder.node)
@@ -104,7 +104,7 @@
         wait_s = self._timing.lease_stagger_s * self._peers.rank(now_s)
         if not self._speaks():
             wait_s += self._timing.lease_member_wait_s
-        if self._peers.isolated(now_s):
+        if self._peers.is_isolated(now_s):
             wait_s = self._timing.lease_isolated_s
         return now_s - self._free_since_s >= wait_s
 
@@ -115,7 +115,7 @@
         everything was restarted, only its renewals can tell that it lives.
         """
         row = self._lease.row
-        heard = row is not None and self._peers.heard(row.holder.node)
+        heard = row is not None and self._peers.was_ever_seen(row.holder.node)
         return self._timing.peer_silent_s if heard else self._timing.lease_unheard_s
 
     async def _take(self, now_s: float) -> None:
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/standingshare.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/standingshare.py
@@ -6,7 +6,7 @@
 
 from ochreway_core.ids import InstanceId, NodeId
 from ochreway_core.rendezvous import rank
-from ochreway_direct.entries.cells import MESH_ENTRIES
+from ochreway_direct.entries.cells import MAX_MESH_ENTRIES
 
 HEADROOM = 2
 HEADROOM_PART = 8
@@ -63,7 +63,7 @@
     def settled(self, now_s: float) -> bool:
         """Tell whether the entries known are all that there are, but for a few new ones."""
         alone = self._known_s and now_s - self._heard_s > ALONE_S
-        least_s = SETTLED_MESH_S if self.known <= MESH_ENTRIES else SETTLED_S
+        least_s = SETTLED_MESH_S if self.known <= MAX_MESH_ENTRIES else SETTLED_S
         return self._ever_heard and not alone and now_s - self._heard_since_s >= least_s
 
     @property
--- a/packages/ochreway-standins/src/ochreway_standins/limitbench.py
+++ b/packages/ochreway-standins/src/ochreway_standins/limitbench.py
@@ -8,7 +8,7 @@
 
 from ochreway_core.ids import Version
 from ochreway_direct.configuration import ColdStart, Configuration, Service
-from ochreway_direct.entries.cells import MESH_ENTRIES
+from ochreway_direct.entries.cells import MAX_MESH_ENTRIES
 from ochreway_direct.leases.lease import LeaseState
 from ochreway_direct.relay.attempt import Attempt
 from ochreway_standins.choicebench import (
@@ -102,7 +102,7 @@
     found: list[LimitWorld] = []
 
     def work(loop: VirtualLoop) -> None:
-        world = SpreadWorld(loop, entries, HALLS, MESH_ENTRIES, STEP_S)
+        world = SpreadWorld(loop, entries, HALLS, MAX_MESH_ENTRIES, STEP_S)
         service = Service(SERVICE, 100, SPEC, COLD if limited else None)
         for entry in world.entries.values():
             entry.serving.apply(Configuration(Version(2), services=(service,)))
--- a/packages/ochreway-standins/src/ochreway_standins/spreadworld.py
+++ b/packages/ochreway-standins/src/ochreway_standins/spreadworld.py
@@ -17,7 +17,7 @@
 from ochreway_direct.demandmeter import DemandMeter
 from ochreway_direct.drains.drainkeeper import DrainKeeper
 from ochreway_direct.drains.halldrains import HallDrains
-from ochreway_direct.entries.cells import MESH_ENTRIES
+from ochreway_direct.entries.cells import MAX_MESH_ENTRIES
 from ochreway_direct.entries.heartbeats import Heartbeats
 from ochreway_direct.entries.knownentry import KnownEntry
 from ochreway_direct.entries.peers import Peers
@@ -134,7 +134,7 @@
 
     def _asked(self, now_s: float) -> dict[NodeId, float]:
         own = sum(self.meter.offered(now_s).values())
-        return {**self.heartbeats.elsewhere.asked_by_source(), self.me.peer.node: own}
+        return {**self.heartbeats.remote_work.offered_by_source(), self.me.peer.node: own}
 
     def crashed(self, fingerprint: Fingerprint, targets: Iterable[InstanceId]) -> None:
         """Have targets end under a request here, and tell others of it if it is fatal."""
@@ -157,7 +157,7 @@
         loop: VirtualLoop,
         entries: int,
         halls: int,
-        mesh_entries: int = MESH_ENTRIES,
+        mesh_entries: int = MAX_MESH_ENTRIES,
         step_s: float = STEP_S,
     ) -> None:
         self._loop = loop
@@ -200,8 +200,8 @@
         other = self._by_address[address]
         if other.node not in self.entries or self.cut(me.node, other.node):
             return
-        self.entries[me.node].peers.met(other, self.now_s)
-        self.entries[other.node].peers.met(me, self.now_s)
+        self.entries[me.node].peers.add_linked(other, self.now_s)
+        self.entries[other.node].peers.add_linked(me, self.now_s)
 
     def lose(self, node: NodeId) -> SpreadEntry:
         """End an entry without a word."""
--- a/tests/direct/test_drainspread.py
+++ b/tests/direct/test_drainspread.py
@@ -16,17 +16,17 @@
     virtually,
 )
 
-SETTLED_S = 12.0
-HEARD_S = 1.5
+SETTLE_S = 12.0
+PROPAGATION_S = 1.5
 """Within what time a word passes from one entry over heads to all, also those of other cells."""
 DRAINED = HallId("hall-9")
 
 
 class DrainSpreadTests(testtools.TestCase):
-    def spread(self, entries: int, work: Callable[[SpreadWorld], None]) -> None:
+    def run_world(self, entries: int, work: Callable[[SpreadWorld], None]) -> None:
         def run(loop: VirtualLoop) -> None:
             world = SpreadWorld(loop, entries, 5)
-            world.run(SETTLED_S)
+            world.run(SETTLE_S)
             for entry in world.entries.values():
                 entry.drains.read(DrainedHalls(5), world.now_s)
             work(world)
@@ -42,68 +42,70 @@
         keeper.read(DrainedHalls(5), world.now_s)
         keeper.read(DrainedHalls(6, (DRAINED,)), world.now_s)
 
-    def knowing(self, world: SpreadWorld) -> list[NodeId]:
+    def entries_aware(self, world: SpreadWorld) -> list[NodeId]:
         return [n for n, e in world.entries.items() if e.drains.gauges()["halls_draining"]]
 
     def closed(self, world: SpreadWorld) -> list[NodeId]:
         return [n for n, e in world.entries.items() if e.drains.gauges()["halls_closed"]]
 
-    def test_all_hear_of_a_drain_that_one_has_read_and_close_in_time(self) -> None:
+    def test_a_drain_read_by_one_entry_reaches_all_and_the_hall_closes_in_time(self) -> None:
         for entries in (5, 36, 90):
 
             def work(world: SpreadWorld) -> None:
                 read_s = world.now_s
                 self.first(world).drains.read(DrainedHalls(6, (DRAINED,)), world.now_s)
-                world.run(HEARD_S)
-                self.assertEqual(len(world.entries), len(self.knowing(world)))
+                world.run(PROPAGATION_S)
+                self.assertEqual(len(world.entries), len(self.entries_aware(world)))
                 self.assertEqual([], self.closed(world))
                 world.run(read_s + HALL_DRAIN_S - world.now_s)
                 self.assertEqual(len(world.entries), len(self.closed(world)))
 
-            self.spread(entries, work)
+            self.run_world(entries, work)
 
-    def test_all_hear_that_a_hall_was_taken_back(self) -> None:
+    def test_the_end_of_a_drain_reaches_all(self) -> None:
         def work(world: SpreadWorld) -> None:
             first = self.first(world)
             first.drains.read(DrainedHalls(6, (DRAINED,)), world.now_s)
             world.run(HALL_DRAIN_S)
             first.drains.read(DrainedHalls(7), world.now_s)
-            world.run(HEARD_S)
-            self.assertEqual(([], []), (self.knowing(world), self.closed(world)))
+            world.run(PROPAGATION_S)
+            self.assertEqual(([], []), (self.entries_aware(world), self.closed(world)))
 
-        self.spread(36, work)
+        self.run_world(36, work)
 
-    def test_an_entry_that_never_read_the_store_goes_by_what_it_hears(self) -> None:
+    def test_an_entry_that_never_read_the_store_follows_the_heartbeats(self) -> None:
         def work(world: SpreadWorld) -> None:
-            node, dark = list(world.entries.items())[-1]
-            world.entries[node] = again = SpreadEntry(world, dark.me, (), 24)
+            node, previous = list(world.entries.items())[-1]
+            world.entries[node] = again = SpreadEntry(world, previous.me, (), 24)
             for other in list(world.entries.values())[:3]:
-                world.introduce(dark.me.peer, other.me.peer.address)
+                world.introduce(previous.me.peer, other.me.peer.address)
             world.run(3.0)
             self.assertTrue(again.drains.known)
             self.drain(world)
-            world.run(HEARD_S)
-            self.assertIn(node, self.knowing(world))
+            world.run(PROPAGATION_S)
+            self.assertIn(node, self.entries_aware(world))
             self.assertNotIn(node, self.closed(world))
-            world.run(HALL_DRAIN_S - HEARD_S)
+            world.run(HALL_DRAIN_S - PROPAGATION_S)
             self.assertIn(node, self.closed(world))
 
-        self.spread(5, work)
+        self.run_world(5, work)
 
-    def test_an_entry_that_was_cut_off_closes_the_hall_as_soon_as_it_hears(self) -> None:
+    def test_an_entry_that_was_cut_off_closes_the_hall_once_it_is_connected_again(self) -> None:
         def work(world: SpreadWorld) -> None:
-            lone = list(world.entries)[-1]
-            world.cut = lambda sender, receiver: lone in (sender, receiver)
+            isolated = list(world.entries)[-1]
+            world.cut = lambda sender, receiver: isolated in (sender, receiver)
             self.first(world).drains.read(DrainedHalls(6, (DRAINED,)), world.now_s)
             world.run(HALL_DRAIN_S + 1.0)
-            self.assertNotIn(lone, self.knowing(world))
+            self.assertNotIn(isolated, self.entries_aware(world))
             world.cut = lambda sender, receiver: False
             world.run(3.0)
-            self.assertIn(lone, self.closed(world))
+            self.assertIn(isolated, self.closed(world))
 
-        self.spread(5, work)
+        self.run_world(5, work)
 
-    def test_an_entry_that_starts_in_the_midst_knows_before_it_hears_of_a_version(self) -> None:
+    def test_an_entry_that_starts_during_a_drain_knows_it_before_it_requests_a_version(
+        self,
+    ) -> None:
         def work(world: SpreadWorld) -> None:
             first = self.first(world)
             first.drains.read(DrainedHalls(6, (DRAINED,)), world.now_s)
@@ -112,7 +114,7 @@
             world.entries[node] = again = SpreadEntry(world, former.me, (), 24)
             again.serving.routes = None
             asked: list[bool] = []
-            again.heartbeats._fall_behind = (  # type: ignore[method-assign]
+            again.heartbeats._request_version = (  # type: ignore[method-assign]
                 lambda ahead, now_s: asked.append(again.drains.known)
             )
             world.introduce(former.me.peer, first.me.peer.address)
@@ -121,21 +123,21 @@
             self.assertEqual({True}, set(asked))
             self.assertIn(node, self.closed(world))
 
-        self.spread(5, work)
+        self.run_world(5, work)
 
-    def test_an_echo_of_a_former_life_gives_a_hall_no_time(self) -> None:
-        for began_later_s, closed in ((0.0, False), (60.0, True)):
-            work = partial(self._work_after_restart, began_later_s, closed)
-            self.spread(5, work)
+    def test_an_echo_of_a_former_incarnation_does_not_delay_the_closing_of_a_hall(self) -> None:
+        for started_later_s, closed in ((0.0, False), (60.0, True)):
+            work = partial(self._work_after_restart, started_later_s, closed)
+            self.run_world(5, work)
 
-    def _work_after_restart(self, began_later_s: float, closed: bool, world: SpreadWorld) -> None:
+    def _work_after_restart(self, started_later_s: float, closed: bool, world: SpreadWorld) -> None:
         node, former = list(world.entries.items())[-1]
         world.entries[node] = again = SpreadEntry(world, former.me, (), 24)
-        again.heartbeats._began_s = world.now_s + began_later_s
+        again.heartbeats._started_s = world.now_s + started_later_s
         for other in list(world.entries.values())[:3]:
             world.introduce(former.me.peer, other.me.peer.address)
         world.run(3.0)
         self.drain(world)
-        world.run(HEARD_S)
-        self.assertIn(node, self.knowing(world))
+        world.run(PROPAGATION_S)
+        self.assertIn(node, self.entries_aware(world))
         self.assertEqual(closed, node in self.closed(world))
--- a/tests/direct/test_means.py
+++ b/tests/direct/test_means.py
@@ -142,7 +142,7 @@
         watch.check(0.0)
         self.assertEqual(60, watch.resting.at_one)
         for number in range(3):
-            self.peers.met(Peer(NodeId(f"e{number}"), f"127.0.0.1:{number}"), 0.0)
+            self.peers.add_linked(Peer(NodeId(f"e{number}"), f"127.0.0.1:{number}"), 0.0)
         watch.check(0.25)
         self.assertEqual(15, watch.resting.at_one)
         self.assertIsNone(watch.resting.in_all)
--- a/tests/direct/test_elsewhere.py
+++ b/tests/direct/test_remotework.py
@@ -5,7 +5,7 @@
 
 from ochreway_core.ids import HallId, NodeId
 from ochreway_direct.entries.coverage import Coverage
-from ochreway_direct.entries.elsewhere import COUNTS_TRUSTED_S, SOURCE_TRUSTED_S, Elsewhere
+from ochreway_direct.entries.remotework import COUNTS_MAX_AGE_S, SOURCE_TIMEOUT_S, RemoteWork
 from ochreway_direct.fleets.fleet import Fleet
 from ochreway_direct.ids import CellId, ModelName
 from ochreway_direct.work import Work, total, without
@@ -19,43 +19,43 @@
     return Work({"g": number}, {"g": 100 * number}, {MODEL: number / 2})
 
 
-class ElsewhereTests(testtools.TestCase):
+class RemoteWorkTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.fleet = Fleet(HallId("h"), random.Random(1))
-        self.elsewhere = Elsewhere(self.fleet)
+        self.remote_work = RemoteWork(self.fleet)
 
-    def take(
+    def report(
         self, sender: NodeId, coverage: Coverage, number: int, at_s: float, *covered: NodeId
     ) -> None:
-        self.elsewhere.take(sender, coverage, CELL, covered, work(number), at_s)
+        self.remote_work.add_report(sender, coverage, CELL, covered, work(number), at_s)
 
-    def test_two_heads_speak_for_a_cell_and_one_is_gone_by(self) -> None:
-        self.take(A, Coverage.CELL, 5, 10.0)
-        self.take(B, Coverage.CELL, 7, 10.1)
+    def test_of_two_heads_of_a_cell_only_one_is_counted(self) -> None:
+        self.report(A, Coverage.CELL, 5, 10.0)
+        self.report(B, Coverage.CELL, 7, 10.1)
         self.assertEqual(5, self.fleet.load("g"))
-        self.take(B, Coverage.CELL, 7, 10.0 + SOURCE_TRUSTED_S)
+        self.report(B, Coverage.CELL, 7, 10.0 + SOURCE_TIMEOUT_S)
         self.assertEqual(7, self.fleet.load("g"))
 
-    def test_what_entries_said_for_themselves_ends_when_their_cell_is_counted(self) -> None:
-        self.take(C, Coverage.OWN, 3, 10.0)
-        self.take(A, Coverage.CELL, 5, 10.1, A, C)
+    def test_a_cell_report_replaces_the_reports_of_its_entries(self) -> None:
+        self.report(C, Coverage.OWN, 3, 10.0)
+        self.report(A, Coverage.CELL, 5, 10.1, A, C)
         self.assertEqual(5, self.fleet.load("g"))
 
-    def test_a_sum_of_all_the_rest_replaces_the_parts_and_is_replaced_by_them(self) -> None:
-        self.take(A, Coverage.OWN, 3, 10.0)
-        self.take(B, Coverage.REST, 9, 10.1)
-        self.assertEqual((9, False), (self.fleet.load("g"), self.elsewhere.adds_up))
-        self.take(A, Coverage.CELL, 4, 10.2)
-        self.assertEqual((4, True), (self.fleet.load("g"), self.elsewhere.adds_up))
+    def test_a_rest_report_replaces_partial_reports_and_is_replaced_by_them(self) -> None:
+        self.report(A, Coverage.OWN, 3, 10.0)
+        self.report(B, Coverage.REST, 9, 10.1)
+        self.assertEqual((9, False), (self.fleet.load("g"), self.remote_work.has_cell_reports))
+        self.report(A, Coverage.CELL, 4, 10.2)
+        self.assertEqual((4, True), (self.fleet.load("g"), self.remote_work.has_cell_reports))
 
-    def test_counts_that_nobody_renews_are_dropped(self) -> None:
-        self.take(A, Coverage.OWN, 3, 10.0)
-        self.elsewhere.expire(10.0 + COUNTS_TRUSTED_S)
+    def test_counts_that_are_not_renewed_are_dropped(self) -> None:
+        self.report(A, Coverage.OWN, 3, 10.0)
+        self.remote_work.expire(10.0 + COUNTS_MAX_AGE_S)
         self.assertEqual(3, self.fleet.load("g"))
-        self.elsewhere.expire(10.1 + COUNTS_TRUSTED_S)
+        self.remote_work.expire(10.1 + COUNTS_MAX_AGE_S)
         self.assertEqual(0, self.fleet.load("g"))
-        self.assertEqual({}, dict(self.elsewhere.offered()))
+        self.assertEqual({}, dict(self.remote_work.offered()))
 
 
 class WorkTests(testtools.TestCase):
