--- a/packages/ochreway-direct/src/ochreway_direct/entries/__init__.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The other entries: who they are, who tells whom, and what they tell each other."""
+"""The other entries: membership, heartbeat topology and the contents of heartbeats."""
--- a/packages/ochreway-direct/src/ochreway_direct/entries/cells.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/cells.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which entries speak for which others, so that nobody has to hear everyone.
+"""Partition of entries into cells with heads, which bounds the number of heartbeats.
 
-Entries of a hall stand in cells of a bounded size. A cell's members tell its heads what they do,
-the heads tell each other what their cells do, and their members what is done elsewhere. While
-there are few entries each is a cell of its own, and all tell all.
+The entries of a hall are divided into cells of bounded size. Members report their work to the
+heads of their cell; heads report their cell's work to each other, and the work of all others to
+their members. While there are few entries, each is a cell of its own and all form a full mesh.
 """
 
 import math
@@ -16,24 +16,27 @@
 from ochreway_direct.ids import CellId
 
 MAX_MESH_ENTRIES = 24
-"""Up to how many entries all tell all: below it the heads would be most of the entries."""
+"""Maximum size of a full mesh; with fewer entries in cells, most of them would be heads."""
 CELL_ENTRIES = 16
-"""How many entries a cell has on average at most; a head's messages grow with it."""
+"""Maximum mean number of entries in a cell; the number of a head's messages grows with it."""
 STORE_READERS = 2
-"""How many entries ask the store for a newer configuration on behalf of the others, above a mesh.
+"""Number of entries that poll the store for a newer configuration for all, above a mesh.
 
-In a mesh each asks itself. With two readers of five, both cut off in the same moment, the others
-used a key for 2.0 s after it was taken away, the whole bound of such a site: whoever does not read
-asks only once its newest proof is older than proofs usually are, 2.7 s. All asking costs 0.009 of
-worth among 16 entries, as calls to the store.
+In a mesh each entry polls the store itself. With two readers for five entries, both cut off at
+once, the others used a revoked key for 2.0 s, the whole bound of such a site: an entry that is not
+a reader polls only once its newest proof is older than usual, 2.7 s. Polling by all 16 entries
+costs 0.009 of utility in calls to the store.
 """
 HEADS_PER_CELL = 2
-"""How many entries speak for a cell, so that one may be lost or frozen unnoticed by users."""
+"""Number of heads of a cell, so that the loss or freeze of one goes unnoticed by users."""
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """Hold what an entry's place depends on; one that is not ``trusted`` becomes no head."""
+    """Hold what an entry's position among the cells depends on.
+
+    One that is not ``trusted`` becomes a head only where no entry of the cell is trusted.
+    """
 
     node: NodeId
     hall: HallId
@@ -42,10 +45,10 @@
 
 
 class Cells:
-    """Hold the cells of all entries that are known, and their heads.
+    """Hold the cells of all known entries, and their heads.
 
-    Entries that know the same others find the same cells. Until they do, some are counted twice
-    or not at all for a moment, which concerns the choice of places only.
+    Entries that know the same others compute the same cells. Until they do, the work of some is
+    briefly counted twice or not at all, which affects only the choice of targets.
     """
 
     def __init__(self, entries: Iterable[Candidate], mesh_entries: int = MAX_MESH_ENTRIES) -> None:
@@ -58,15 +61,15 @@
         self._heads = {cell: _heads(members_of) for cell, members_of in self._cells.items()}
 
     def cell(self, node: NodeId) -> CellId:
-        """Return the cell of an entry that is known."""
+        """Return the cell of a known entry."""
         return self._cell_of[node]
 
     def members(self, cell: CellId) -> tuple[NodeId, ...]:
-        """Return the entries of a cell, the strongest first; none of one that is not known."""
+        """Return the entries of a cell, the strongest first; empty if the cell is not known."""
         return tuple(entry.node for entry in self._cells.get(cell, ()))
 
     def heads(self, cell: CellId) -> tuple[NodeId, ...]:
-        """Return the entries that speak for a cell."""
+        """Return the heads of a cell."""
         return self._heads[cell]
 
     def all_heads(self) -> tuple[NodeId, ...]:
@@ -74,18 +77,18 @@
         return tuple(node for heads in self._heads.values() for node in heads)
 
     def readers(self) -> tuple[NodeId, ...]:
-        """Return the entries that ask the store for all: the first heads of a few cells."""
+        """Return the entries that poll the store for all: the first heads of a few cells."""
         if self.meshed:
             return tuple(self._cell_of)
         cells = sorted(self._heads)[:STORE_READERS]
         return tuple(self._heads[cell][0] for cell in cells)
 
     def is_head(self, node: NodeId) -> bool:
-        """Tell whether an entry speaks for its cell."""
+        """Return whether an entry is a head of its cell."""
         return node in self._heads[self.cell(node)]
 
     def contacts(self, node: NodeId) -> tuple[NodeId, ...]:
-        """Return the entries that one exchanges heartbeats with."""
+        """Return the entries that an entry exchanges heartbeats with."""
         own = self.cell(node)
         if not self.is_head(node):
             return self.heads(own)
@@ -98,7 +101,7 @@
 
 
 def _cells_by_hall(known: list[Candidate]) -> dict[CellId, list[Candidate]]:
-    """Share the entries of each hall out; a change moves few of them."""
+    """Assign the entries of each hall to cells by rendezvous hashing, so a change moves few."""
     halls: dict[HallId, list[Candidate]] = defaultdict(list)
     for entry in known:
         halls[entry.hall].append(entry)
--- a/packages/ochreway-direct/src/ochreway_direct/entries/coverage.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/coverage.py
@@ -1,18 +1,18 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Whose work a heartbeat counts."""
+"""Scope of the work that a heartbeat reports."""
 
 from enum import Enum
 
 
 class Coverage(Enum):
-    """Say whose work a heartbeat counts."""
+    """Define whose work a heartbeat reports."""
 
     OWN = "own"
-    """The sender's."""
+    """The sender's own work."""
     CELL = "cell"
-    """That of every entry of the sender's cell."""
+    """The work of all entries of the sender's cell."""
     REST = "rest"
-    """Everybody's but the receiver's."""
+    """The work of all entries except the receiver."""
 
 
 __all__ = ["Coverage"]
--- a/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What entries tell each other at short intervals."""
+"""Periodic heartbeats between entries."""
 
 import asyncio
 from collections.abc import Callable
@@ -32,25 +32,29 @@
 from ochreway_wire.links import Links
 
 NEW_ENTRY_S = 3.0
-"""For how long entries that were not known before are named first."""
+"""How long newly known entries are named in every heartbeat."""
 MIN_NAMED_ENTRIES = 8
+"""Minimum number of known entries that a heartbeat names."""
 MAX_NAMING_BEATS = 32
-"""How many entries a heartbeat names: so many, or all of them within so many heartbeats."""
+"""Number of heartbeats within which all known entries are named, if there are many."""
 STORE_HEAD_START_S = 0.4
-"""How long an entry waits for a newer version from the store: a few answers of a slow store."""
+"""How long to wait for a newer version from the store before a peer is asked for it.
+
+It covers a few answers of a slow store.
+"""
 REQUEST_RETRY_DELAY_S = 0.5
-"""How long the answer of one entry is waited for before the next one is asked."""
+"""How long to wait for the answer of one entry before the next one is asked."""
 USUAL_ECHO_AGE_S = 0.8
-"""How old an echo may be without any delay: an interval of heartbeats at each end and a little."""
+"""Age of an echo without network delay: a heartbeat interval at each end and some margin."""
 VIEW_HEAD_START_S = 0.25
-"""How long a newer view of the fleet may be on its way before it is asked for."""
+"""How long to wait for a newer view of the fleet before it is requested."""
 
 
 class Heartbeats:
-    """Send this entry's heartbeats and take in those of others.
+    """Send this entry's heartbeats and process those of others.
 
-    Each goes to the entries that this one has to be in touch with (``cells.py``), and counts for
-    each what it cannot know otherwise.
+    They go to this entry's contacts (see ``cells.py``); each reports the work that its receiver
+    does not learn from others.
     """
 
     def __init__(
@@ -70,7 +74,7 @@
         loans: Loans | None = None,
         limits: LimitSharing | None = None,
     ) -> None:
-        """Start with the parts given; ``listed`` is told when the list of targets is newer."""
+        """Start without contacts; ``on_list_changed`` is called when a newer list was applied."""
         self._incarnation = incarnation
         self._me = me
         self._seeds = seeds
@@ -97,31 +101,31 @@
         self._view_request_due_s = 0.0
         self.newest_version = serving.version
 
-    # Whom this entry is in touch with.
+    # Contacts.
 
     @property
     def meshed(self) -> bool:
-        """Tell whether all entries tell all, as there are few."""
+        """Return whether the entries are few enough to form a full mesh."""
         return self._cells.meshed
 
     @property
     def head(self) -> bool:
-        """Tell whether this entry speaks for its cell."""
+        """Return whether this entry is a head of its cell."""
         return self._cells.is_head(self._me.peer.node)
 
     @property
     def first_head(self) -> bool:
-        """Tell whether this entry is the first to speak for its cell."""
+        """Return whether this entry is the first head of its cell."""
         heads = self._cells.heads(self._own_cell)
         return heads[0] == self._me.peer.node
 
     @property
     def reader(self) -> bool:
-        """Tell whether this entry asks the store for others too."""
+        """Return whether this entry polls the store on behalf of others."""
         return self._me.peer.node in self._cells.readers()
 
     def members(self) -> list[Peer]:
-        """Return the entries that hear from others only through this one."""
+        """Return the entries that depend on this head for messages from other cells."""
         if not self.head:
             return []
         cell = self._own_cell
@@ -131,16 +135,16 @@
         )
 
     def publication_peers(self) -> list[Peer]:
-        """Return the entries that pass on what the holder of the lease tells, and its members."""
+        """Return the entries that the lease holder publishes to: all heads and its members."""
         heads = self._peers.known_peers(self._cells.all_heads())
         return list(dict.fromkeys((*heads, *self.members())))
 
     def contacts(self) -> list[Peer]:
-        """Return the entries that this one exchanges heartbeats with."""
+        """Return the entries that this entry exchanges heartbeats with."""
         return [*self._peers.known_peers(self._contacts), *self._peers.without_hall()]
 
     def forwarding_peers(self, node: NodeId) -> list[Peer]:
-        """Return the entries that hear another's news only through this one, if any."""
+        """Return the entries to which this one has to forward messages of the given entry."""
         if self.meshed or not self.head:
             return []
         return self.contacts() if self._in_own_cell(node) else self.members()
@@ -150,9 +154,9 @@
         return self._cells.cell(self._me.peer.node)
 
     def _update_cells(self, now_s: float) -> None:
-        """Find the cells and the contacts anew, by what is known now."""
+        """Recompute the cells and contacts from the entries known now."""
         for node in self._peers.update_expected(self._contacts, now_s):
-            # The entry may be well and only the connection silent, which nothing else would show.
+            # The entry may be alive on a dead connection, which nothing else would reveal.
             self._links.drop(node)
         self._cells = Cells(self._peers.candidates(now_s), self._mesh_entries)
         contacts = self._cells.contacts(self._me.peer.node)
@@ -161,10 +165,10 @@
             contacts = tuple(dict.fromkeys((*contacts, *heads)))
         self._contacts = contacts
 
-    # Sending.
+    # Sending heartbeats.
 
     def send(self, now_s: float) -> None:
-        """Send a heartbeat to each contact, and dial seeds that are not known."""
+        """Send a heartbeat to each contact, and connect to seeds that are not known yet."""
         self._peers.drop_expired(now_s)
         self.remote_work.expire(now_s)
         self._update_cells(now_s)
@@ -220,13 +224,13 @@
         return self._peers.sighting(now_s)
 
     def _coverage(self, node: NodeId) -> Coverage:
-        """Return whose work another entry is told of."""
+        """Return whose work to report to another entry."""
         if not self._in_own_cell(node):
             return Coverage.CELL if self.head else Coverage.OWN
         if self.head:
             other_head = node in self._cells.heads(self._own_cell)
             return Coverage.OWN if other_head else Coverage.REST
-        # Whoever asks a member hears nobody else, or would ask a head.
+        # An entry that asks a member receives no other heartbeats, or it would ask a head.
         return Coverage.OWN if node in self._contacts else Coverage.REST
 
     def _in_own_cell(self, node: NodeId) -> bool:
@@ -240,11 +244,11 @@
             case Coverage.CELL:
                 return total((own, *self.remote_work.member_work()))
             case Coverage.OWN:
-                # Entries of other cells hear of this one's work from its cell's heads.
+                # Entries of other cells learn of this one's work from the heads of its cell.
                 return own if self._in_own_cell(node) else NO_WORK
 
     def _entries_to_name(self, now_s: float) -> tuple[KnownEntry, ...]:
-        """Return the entries to name now: new ones first, then all in turn."""
+        """Return the entries to name in the next heartbeat: new ones, then all in turn."""
         known = self._peers.known_entries(now_s)
         first_known_s = self._first_known_s
         self._first_known_s = {
@@ -257,10 +261,10 @@
         next_in_turn = (known[begin:] + known[:begin])[:number]
         return tuple(dict.fromkeys((*new_entries, *next_in_turn)))
 
-    # Receiving.
+    # Receiving heartbeats.
 
     def receive(self, sender: Peer, heartbeat: Heartbeat) -> None:
-        """Take another entry's heartbeat."""
+        """Process another entry's heartbeat, and answer it if it asks for one."""
         now_s = asyncio.get_running_loop().time()
         self._peers.on_heartbeat(sender, heartbeat, now_s)
         self._lease.note_alive(Holder(sender.node, heartbeat.incarnation))
@@ -271,7 +275,7 @@
             self.remote_work.add_report(
                 *(sender.node, heartbeat.coverage, heartbeat.cell, covered, heartbeat.work, now_s)
             )
-        # Halls first: a version must not be used before it is known which halls are drained.
+        # Halls first: a version must not be applied before the drained halls are known.
         self._drains.hear(heartbeat.drains, self._valid_echo_s(heartbeat, now_s))
         if self._loans is not None:
             self._loans.borrow(heartbeat.loan, self._valid_echo_s(heartbeat, now_s), now_s)
@@ -285,16 +289,17 @@
             self._links.send(sender, answer)
 
     def _accepts_coverage(self, coverage: Coverage) -> bool:
-        """Tell whether counts of a kind are for this entry.
+        """Return whether this entry uses reports with the given coverage.
 
-        A head adds up what cells and members say, but goes by another's sum while it hears none.
+        A head adds up the reports of cells and members, and uses another head's sum only while it
+        has none of a cell.
         """
         if coverage is Coverage.REST:
             return not self.head or not self.remote_work.has_cell_reports
         return self.head
 
     def _covered_entries(self, heartbeat: Heartbeat) -> tuple[NodeId, ...]:
-        """Return the entries whose work a heartbeat counts, as far as their cell is known here."""
+        """Return the entries whose work a heartbeat reports, if their cell is known."""
         if heartbeat.coverage is not Coverage.CELL:
             return ()
         return self._cells.members(heartbeat.cell)
@@ -309,9 +314,9 @@
             self._serving.freshness.prove(echo_s - heartbeat.proof_age_s)
 
     def _valid_echo_s(self, heartbeat: Heartbeat, now_s: float) -> float | None:
-        """Return when this process sent what is echoed, or None when it did not.
+        """Return when this process sent the echoed heartbeat, or None if it did not.
 
-        What a former life of it sent may be echoed, by a clock that began anew since.
+        The echo may be of a former incarnation, whose clock is not comparable.
         """
         echo_s = heartbeat.echo_s
         if echo_s is None or not self._started_s <= echo_s <= now_s:
@@ -319,9 +324,9 @@
         return echo_s
 
     def _request_version(self, source: Peer, now_s: float) -> None:
-        """Ask another entry for its newer version, once the store has had time to bring it.
+        """Request a newer version from another entry, after time for reading it from the store.
 
-        A version is large, and usually every entry reads it from the store at the same moment.
+        A version is large, and usually every entry reads it from the store at the same time.
         """
         version = self._serving.version
         if version != self._outdated_version:
@@ -332,7 +337,7 @@
             self._links.send(source, ConfigurationRequest(version))
 
     def _compare_views(self, sender: Peer, heartbeat: Heartbeat, now_s: float) -> None:
-        """Go on with a view that others stand by, and ask for one that is newer."""
+        """Renew this view if the sender has the same one, and request a newer one."""
         mark = aged(heartbeat.fleet, _delay_s(heartbeat, now_s))
         if self._awaited_view is not None and not self._view.is_older_than(self._awaited_view):
             self._awaited_view = None
@@ -349,10 +354,10 @@
 
 
 def _delay_s(heartbeat: Heartbeat, now_s: float) -> float:
-    """Return how long a heartbeat must have been on its way beyond what is usual.
+    """Return an upper bound on a heartbeat's delay beyond the usual one.
 
-    It was sent after what it echoes had arrived. Where links lose packets or stand still, what it
-    says is older than it looks.
+    It was sent after the heartbeat that it echoes had arrived. Where links lose packets or stall,
+    its contents are older than they appear.
     """
     if heartbeat.echo_s is None:
         return 0.0
--- a/packages/ochreway-direct/src/ochreway_direct/entries/knownentry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/knownentry.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An entry as others are told of it."""
+"""Description of an entry that is passed on to others."""
 
 from dataclasses import dataclass
 
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownEntry:
-    """Hold where an entry is, how much it can do, and how long ago anybody heard it.
+    """Hold an entry's address, hall and capacity, and how long no entry has received from it.
 
-    ``strength`` is its processor, in cores of usual speed.
+    ``strength`` is its processor capacity, in cores of usual speed.
     """
 
     peer: Peer
--- a/packages/ochreway-direct/src/ochreway_direct/entries/remotework.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/remotework.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What others have under way, put together from what they say for themselves and for others."""
+"""The work of other entries, aggregated from reports of single entries, cells and heads."""
 
 from collections import Counter
 from collections.abc import Collection
@@ -12,9 +12,9 @@
 from ochreway_direct.work import NO_WORK, Work, total
 
 SOURCE_TIMEOUT_S = 0.75
-"""How long one head's word goes before the other's: two heartbeats and some delay."""
+"""Silence after which the report of a cell's other head is accepted: two heartbeats and delay."""
 COUNTS_MAX_AGE_S = 2.0
-"""After how long counts that nobody renews are dropped; most of what they counted has ended."""
+"""Age at which counts that are not renewed are dropped; most of that work has ended by then."""
 
 
 REST_KEY = "rest"
@@ -29,11 +29,10 @@
 
 
 class RemoteWork:
-    """Hold one report for each source of counts, none of which is counted twice.
+    """Hold the reports of other entries so that no work is counted twice.
 
-    A head counts its members and the other cells; everybody else goes by what one head says of
-    all the rest. Two heads speak for each cell, of which the one heard first is gone by until it
-    falls silent.
+    A head adds up its members and the other cells; other entries use one head's sum of all the
+    rest. Of the two heads of a cell, the one received first is used until it falls silent.
     """
 
     def __init__(self, fleet: Fleet) -> None:
@@ -49,16 +48,16 @@
         work: Work,
         now_s: float,
     ) -> None:
-        """Take what a heartbeat counts.
+        """Add the work that a heartbeat reports, and drop reports that it replaces.
 
         Args:
-            sender: who sent it.
-            coverage: whose work it counts.
+            sender: the reporting entry.
+            coverage: whose work is reported.
             cell: the sender's cell.
-            covered: the entries whose work it counts, if it counts a cell's. What they said for
-                themselves before they stood in it is not counted any more.
-            work: the numbers.
-            now_s: the time.
+            covered: the entries of the cell, if the work of a cell is reported. Reports that they
+                sent for themselves before they joined it are dropped.
+            work: the reported work.
+            now_s: the current time.
         """
         key = _key(sender, coverage, cell)
         known = self._reports.get(key)
@@ -78,7 +77,7 @@
         return self._reports[key].source
 
     def expire(self, now_s: float) -> None:
-        """Drop what has not been renewed for a while."""
+        """Drop reports that were not renewed within ``COUNTS_MAX_AGE_S``."""
         expired = {k for k, r in self._reports.items() if now_s - r.received_s > COUNTS_MAX_AGE_S}
         self._drop_all(expired)
 
@@ -89,22 +88,22 @@
 
     @property
     def has_cell_reports(self) -> bool:
-        """Tell whether single cells or entries are counted, not one sum of all the rest."""
+        """Return whether reports of cells are added up, not one sum of all the rest."""
         return any(r.coverage is Coverage.CELL for r in self._reports.values())
 
     def member_work(self) -> list[Work]:
-        """Return what each member of the own cell said of itself."""
+        """Return the work that each member of the own cell reported for itself."""
         return [r.work for r in self._reports.values() if r.coverage is Coverage.OWN]
 
     def work_of(self, node: NodeId) -> Work:
-        """Return what an entry said of itself."""
+        """Return the work that an entry reported for itself."""
         report = self._reports.get(_key(node, Coverage.OWN, CellId("")))
         return report.work if report is not None else NO_WORK
 
     def offered_by_source(self) -> Counter[NodeId]:
-        """Return the work that arrives at each entry that reports, and where it speaks for others.
+        """Return the offered work by reporting entry, in units of fully busy groups.
 
-        It is in groups kept busy.
+        A head's number includes the entries that it represents.
         """
         rates: Counter[NodeId] = Counter()
         for report in self._reports.values():
@@ -113,11 +112,11 @@
         return rates
 
     def total_work(self) -> Work:
-        """Return all work but the own."""
+        """Return the total work of all other entries."""
         return total(report.work for report in self._reports.values())
 
     def offered(self) -> Counter[ModelName]:
-        """Return the work that arrives elsewhere, for each model."""
+        """Return the work offered to other entries, for each model."""
         rates: Counter[ModelName] = Counter()
         for report in self._reports.values():
             rates.update(report.work.offered)
--- a/tests/direct/test_drainspread.py
+++ b/tests/direct/test_drainspread.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A word on drained halls reaches every entry, and none sends there later than the bound allows."""
+"""Drained halls become known to every entry, and none sends there after the bound."""
 
 from collections.abc import Callable
 from functools import partial
@@ -18,7 +18,7 @@
 
 SETTLE_S = 12.0
 PROPAGATION_S = 1.5
-"""Within what time a word passes from one entry over heads to all, also those of other cells."""
+"""Time in which a drain propagates from one entry over heads to all, also in other cells."""
 DRAINED = HallId("hall-9")
 
 
@@ -37,7 +37,7 @@
         return next(iter(world.entries.values()))
 
     def drain(self, world: SpreadWorld) -> None:
-        """Have one entry read the store before and after a hall is drained."""
+        """Let one entry read the store before and after a hall is drained."""
         keeper = self.first(world).drains
         keeper.read(DrainedHalls(5), world.now_s)
         keeper.read(DrainedHalls(6, (DRAINED,)), world.now_s)
--- a/tests/direct/test_spread.py
+++ b/tests/direct/test_spread.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What heartbeats bring to each entry, and what they cost, at several sizes."""
+"""Propagation of state by heartbeats, and the number of messages, at several site sizes."""
 
 from collections.abc import Callable
 
@@ -15,9 +15,9 @@
 HALLS = 5
 SETTLE_S = 12.0
 MAX_OVERCOUNT = 4
-"""By how many of 36 a sum may be too high for a moment, while entries move into their cells."""
+"""How much too high a sum over 36 may be for a moment, while entries move into their cells."""
 PROPAGATION_S = 1.2
-"""Within what time a count passes from an entry over its head and another to a third."""
+"""Time in which a count propagates from an entry over its head and another head to a third."""
 
 
 class SpreadTests(testtools.TestCase):
