--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleet.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleet.py
@@ -430,7 +430,9 @@
 
 def _last_progress_s(running: Collection[Attempt]) -> float:
     """Return when the last part of an answer arrived, or when the first one was due."""
-    received_s = [attempt.last_received_s for attempt in running if attempt.last_received_s is not None]
+    received_s = [
+        attempt.last_received_s for attempt in running if attempt.last_received_s is not None
+    ]
     if received_s:
         return max(received_s)
     return min(attempt.begun_s for attempt in running) + FIRST_ANSWER_TIMEOUT_S
--- a/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
@@ -200,7 +200,9 @@
 
     def _requested_wait_s(self, call: Call, now_s: float) -> float:
         """Return how soon a target takes requests again; 0 if one does now, or there is none."""
-        return self._fleet.requested_wait_s(call.service, call.terms.model, call.allowed_halls, now_s)
+        return self._fleet.requested_wait_s(
+            call.service, call.terms.model, call.allowed_halls, now_s
+        )
 
     def _wait_reason(self, call: Call, now_s: float) -> Reason:
         """Return why targets take no request now: all back off, or limits are used up."""
