--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleetview.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleetview.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What an entry believes the fleet to be, from the holder of the lease or from the list."""
+"""An entry's view of the fleet, from the lease holder's updates or from the platform's list."""
 
 from collections import defaultdict
 from collections.abc import Mapping
@@ -14,12 +14,12 @@
 from ochreway_direct.messages import FleetChange, FleetMark, FleetUpdate
 
 NEVER_S = -1.0e9
-UPDATE_TRUSTED_S = 5.0
-"""For how long the last update goes before the list when no holder is heard."""
+UPDATE_MAX_AGE_S = 5.0
+"""Maximum age at which the last update takes precedence over the list."""
 
 
 class FleetView:
-    """Keep the newest update and list; go by the list while no update is recent."""
+    """Keep the newest update and list; use the list while no update is recent."""
 
     def __init__(self, stale_s: float) -> None:
         self._stale_s = stale_s
@@ -34,42 +34,42 @@
 
     @property
     def leaving(self) -> frozenset[InstanceId]:
-        """Return the instances that have announced that they leave, or just left the list."""
+        """Return the instances that announced that they leave, or have just left the list."""
         return self._leaving
 
     @property
-    def known(self) -> bool:
-        """Tell whether any update was taken."""
+    def has_update(self) -> bool:
+        """Return whether any update was applied."""
         return self._update is not None
 
     def mark(self, now_s: float) -> FleetMark:
-        """Return which view this is, its age, and that of the list that its targets are from.
+        """Return the version and age of this view, and the age of the list behind its targets.
 
-        A list that this entry has read itself may be newer, but is not what the view tells.
+        A list that this entry has read itself may be newer, but is not part of the update.
         """
         if self._update is None:
             return FleetMark()
         listed_s = self._update_listed_s
         listed_age_s = now_s - listed_s if listed_s > NEVER_S else None
-        return FleetMark(*_order(self._update), now_s - self._updated_s, listed_age_s)
+        return FleetMark(*_version_of(self._update), now_s - self._updated_s, listed_age_s)
 
-    def stand_by(self, now_s: float) -> None:
-        """Note that the holder, this entry, stands by the newest update and its targets."""
+    def renew_update(self, now_s: float) -> None:
+        """Mark the newest update and its targets as current, as their publisher."""
         self._updated_s = now_s
         self._update_listed_s = self._listed_s
 
-    def groups_of_holder(self, now_s: float, age_at_most_s: float) -> tuple[GroupView, ...] | None:
-        """Return the groups of the newest update, or None when it is too old to go by."""
-        if self._update is None or now_s - self._updated_s > age_at_most_s:
+    def last_published_groups(self, now_s: float, max_age_s: float) -> tuple[GroupView, ...] | None:
+        """Return the groups of the newest update, or None when it is older than ``max_age_s``."""
+        if self._update is None or now_s - self._updated_s > max_age_s:
             return None
         return self._update.groups
 
-    def older_than(self, mark: FleetMark) -> bool:
-        """Tell whether another entry's view is newer."""
-        return (mark.lease_revision, mark.sequence) > _order(self._update)
+    def is_older_than(self, mark: FleetMark) -> bool:
+        """Return whether another entry's view is newer."""
+        return (mark.lease_revision, mark.sequence) > _version_of(self._update)
 
-    def newest(self, now_s: float) -> FleetUpdate | None:
-        """Return the newest update, with the list as it is known by now."""
+    def full_update(self, now_s: float) -> FleetUpdate | None:
+        """Return the newest update, completed with the current list."""
         if self._update is None:
             return None
         return replace(
@@ -80,46 +80,52 @@
             listed_age_s=self.listed_age_s(now_s),
         )
 
-    def take(self, update: FleetUpdate, now_s: float) -> bool:
-        """Take an update unless a newer one is known; return whether it was taken."""
-        if _order(update) < _order(self._update):
+    def apply_update(self, update: FleetUpdate, now_s: float) -> bool:
+        """Apply an update unless a newer one is known; return whether it was applied."""
+        if _version_of(update) < _version_of(self._update):
             return False
         self._update = update
         self._updated_s = now_s
         self._update_listed_s = NEVER_S
-        self._take_listed(update, update.listed_age_s, now_s)
+        self._apply_listed_targets(update, update.listed_age_s, now_s)
         return True
 
-    def change(self, change: FleetChange, now_s: float) -> bool:
-        """Take a change if it is the next one of the same lease; return whether it was."""
-        if self._update is None or _order(self._update) != _order(change, -1):
+    def apply_change(self, change: FleetChange, now_s: float) -> bool:
+        """Apply a change if it is the next one of the same lease; return whether it was."""
+        if self._update is None or _version_of(self._update) != _version_of(change, -1):
             return False
-        gone = {*change.gone, *(each.group for each in change.groups)}
-        kept = tuple(each for each in self._update.groups if each.group not in gone)
+        replaced = {*change.gone, *(each.group for each in change.groups)}
+        kept = tuple(each for each in self._update.groups if each.group not in replaced)
         update = FleetUpdate(
-            *_order(change),
+            *_version_of(change),
             groups=kept + change.groups,
             lost=change.lost,
             targets=change.targets,
             leaving=change.leaving,
             listed_age_s=change.listed_age_s,
         )
-        return self.take(update, now_s)
+        return self.apply_update(update, now_s)
 
     def confirm(self, mark: FleetMark, now_s: float) -> bool:
-        """Take it that the holder stood by this view a while ago; return whether the list is newer.
+        """Renew this view when another entry reports the same one as current.
 
         Args:
-            mark: what another entry says of its view; only the same one counts.
-            now_s: the time.
+            mark: version and ages of the other entry's view; ignored unless it is the same view.
+            now_s: the current time.
+
+        Returns:
+            Whether the targets of the update were applied, because their list is newer.
         """
-        if self._update is None or _order(self._update) != (mark.lease_revision, mark.sequence):
+        if self._update is None or _version_of(self._update) != (
+            mark.lease_revision,
+            mark.sequence,
+        ):
             return False
         self._updated_s = max(self._updated_s, now_s - mark.age_s)
-        return self._take_listed(self._update, mark.listed_age_s, now_s)
+        return self._apply_listed_targets(self._update, mark.listed_age_s, now_s)
 
-    def _take_listed(self, update: FleetUpdate, age_s: float | None, now_s: float) -> bool:
-        """Go by an update's targets if their list is newer than the own one."""
+    def _apply_listed_targets(self, update: FleetUpdate, age_s: float | None, now_s: float) -> bool:
+        """Use an update's targets if their list is newer than this entry's own."""
         if age_s is None:
             return False
         self._update_listed_s = max(self._update_listed_s, now_s - age_s)
@@ -131,33 +137,34 @@
         self._leaving = frozenset(update.leaving)
         return True
 
-    def list(
+    def apply_list(
         self, targets: tuple[ListedTarget, ...], asked_s: float, now_s: float, regained_s: float
     ) -> None:
-        """Take the platform's list as it was read by this entry.
+        """Apply the platform's list as read by this entry.
 
-        Targets that may have lapsed in an outage, which ended at ``regained_s``, stay known.
+        Targets whose registration may have lapsed in an outage that ended at ``regained_s`` stay
+        known for a while.
         """
-        found = {each.instance: each for each in targets}
+        listed_targets = {each.instance: each for each in targets}
         announced = {each.instance for each in targets if each.leaving}
-        gone = self._listing.read(found, now_s, regained_s, announced)
+        departed = self._listing.read(listed_targets, now_s, regained_s, announced)
         if now_s - regained_s < LAPSE_RETURN_S:
-            self._targets |= found
+            self._targets |= listed_targets
         else:
-            self._targets = found
+            self._targets = listed_targets
         self.last_models.note(self._targets.values())
-        self._leaving = frozenset(gone | announced)
+        self._leaving = frozenset(departed | announced)
         self._listed_s = max(self._listed_s, asked_s)
 
-    def know_engines(self, targets: tuple[ListedTarget, ...]) -> None:
-        """Take another entry's list of engines, for the time when this one forms groups."""
+    def merge_engines(self, targets: tuple[ListedTarget, ...]) -> None:
+        """Apply another entry's list of engines, which is needed if this one becomes the holder."""
         plain = {i: t for i, t in self._targets.items() if t.engine is None}
         engines = {each.instance: each for each in targets if each.engine is not None}
         self._targets = plain | engines
         self.last_models.note(targets)
 
-    def stale(self, now_s: float) -> bool:
-        """Tell whether the list has to be read by this entry itself."""
+    def list_is_stale(self, now_s: float) -> bool:
+        """Return whether the list is too old, so that this entry has to read it itself."""
         return now_s - self._listed_s > self._stale_s
 
     def listed_age_s(self, now_s: float) -> float | None:
@@ -165,7 +172,7 @@
         return now_s - self._listed_s if self._listed_s > NEVER_S else None
 
     def targets(self) -> tuple[ListedTarget, ...]:
-        """Return every target of the list."""
+        """Return all listed targets, engines included."""
         return tuple(self._targets.values())
 
     def plain_targets(self) -> tuple[ListedTarget, ...]:
@@ -173,8 +180,8 @@
         return tuple(each for each in self._targets.values() if each.engine is None)
 
     def groups(self, now_s: float) -> tuple[GroupView, ...]:
-        """Return the groups that serve."""
-        if self._update is not None and now_s - self._updated_s < UPDATE_TRUSTED_S:
+        """Return the serving groups, from a recent update, the list or an older update."""
+        if self._update is not None and now_s - self._updated_s < UPDATE_MAX_AGE_S:
             return self._update.groups
         halls = self._halls_of_members()
         groups = (_listed_group(target, halls) for target in self._targets.values())
@@ -182,23 +189,23 @@
         return listed or (self._update.groups if self._update is not None else ())
 
     def _halls_of_members(self) -> dict[tuple[GroupId, Epoch], set[HallId]]:
-        """Return the halls of each group's members, as far as they are listed."""
-        found: dict[tuple[GroupId, Epoch], set[HallId]] = defaultdict(set)
+        """Return the halls of each group's listed members."""
+        members_halls: dict[tuple[GroupId, Epoch], set[HallId]] = defaultdict(set)
         for target in self._targets.values():
             membership = target.engine.membership if target.engine is not None else None
             if membership is not None:
-                found[membership.group, membership.epoch].add(target.hall)
-        return found
+                members_halls[membership.group, membership.epoch].add(target.hall)
+        return members_halls
 
 
-def _order(update: FleetUpdate | FleetChange | None, later: int = 0) -> tuple[int, int]:
+def _version_of(update: FleetUpdate | FleetChange | None, later: int = 0) -> tuple[int, int]:
     return (update.lease_revision, update.sequence + later) if update is not None else (0, 0)
 
 
 def _listed_group(
     target: ListedTarget, halls: Mapping[tuple[GroupId, Epoch], set[HallId]]
 ) -> GroupView | None:
-    """Return the group that a listed engine leads and has open, if any."""
+    """Return the open group that a listed engine leads, if any."""
     state = target.engine
     if state is None or state.membership is None or state.model is None or target.leaving:
         return None
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/serving.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/serving.py
@@ -15,7 +15,7 @@
 from ochreway_core.reason import Reason
 from ochreway_nodes.agent.membership import Membership
 from ochreway_nodes.outbox import Outbox
-from ochreway_routing.estimate import honest_retry_after_s
+from ochreway_routing.estimate import rounded_retry_after_s
 from ochreway_routing.fairqueue import FairQueue
 from ochreway_routing.servicemeter import ServiceMeter
 from ochreway_routing.work import Work
@@ -42,7 +42,7 @@
 
     def __init__(self, membership: Membership, version: Callable[[], int], outbox: Outbox) -> None:
         self.ledger = AttemptLedger()
-        self.queue: FairQueue[AttemptRecord] = FairQueue(at_most=MAX_QUEUED_PER_SLOT, slots=1)
+        self.queue: FairQueue[AttemptRecord] = FairQueue(capacity=MAX_QUEUED_PER_SLOT, slots=1)
         self._handed_over: dict[AttemptId, AttemptRecord] = {}
         self._last_sequences: dict[NodeId, int] = {}
         self.meter: ServiceMeter[AttemptId] = ServiceMeter()
@@ -102,7 +102,7 @@
         row = self._membership.row
         assert row is not None
         self.queue.slots = row.slots
-        self.queue.at_most = row.slots * MAX_QUEUED_PER_SLOT
+        self.queue.capacity = row.slots * MAX_QUEUED_PER_SLOT
         prefill_tokens = self.meter.prefill_tokens(submit.blocks, submit.prompt_tokens, now_s)
         work = Work(
             item=record,
@@ -111,12 +111,12 @@
             cost_tokens=float(submit.prompt_tokens + submit.max_tokens),
             prefill_tokens=prefill_tokens,
             deadline_s=now_s + submit.expires_in_s,
-            needed_s=self.meter.needed_s(prefill_tokens, submit.max_tokens),
+            expected_run_s=self.meter.expected_run_s(prefill_tokens, submit.max_tokens),
             queued_s=now_s,
         )
         lateness_s = self._lateness_s(work, now_s)
         if lateness_s > 0:
-            retry_after_s = honest_retry_after_s(lateness_s)
+            retry_after_s = rounded_retry_after_s(lateness_s)
             self._end_attempt(record, Outcome.NOT_RUN, Reason.DEADLINE_TOO_SHORT, retry_after_s)
             return
         offered = self.queue.offer(work)
@@ -137,7 +137,7 @@
     def _lateness_s(self, work: Work[AttemptRecord], now_s: float) -> float:
         """Return by how much the work is expected to miss its deadline; negative if it meets it."""
         wait_s = self.meter.wait_s(*self.queue.ahead_of(work), self.queue.slots)
-        return now_s + wait_s + work.needed_s - work.deadline_s
+        return now_s + wait_s + work.expected_run_s - work.deadline_s
 
     @property
     def next_s(self) -> float:
@@ -147,7 +147,7 @@
     @property
     def backlog_s(self) -> float:
         """The expected duration of all outstanding prefill, handed over or queued."""
-        queued = sum(work.prefill_tokens for work in self.queue.waiting())
+        queued = sum(work.prefill_tokens for work in self.queue.iter_queued())
         return self.meter.backlog_s + queued * self.meter.prefill_s_per_token
 
     def last_received(self, entry: NodeId) -> int:
@@ -157,7 +157,7 @@
     def retry_after_s(self) -> float:
         """Return the expected time until the queue has room."""
         answers_ahead = (len(self.queue) + 1) / max(self.queue.slots, 1)
-        return honest_retry_after_s(answers_ahead * EXPECTED_ANSWER_S)
+        return rounded_retry_after_s(answers_ahead * EXPECTED_ANSWER_S)
 
     # Hand-over
 
@@ -167,16 +167,16 @@
             return
         closed = self._membership.refusal_reason(now_s)
         if closed is not Reason.NONE:
-            for work in self.queue.take_all():
+            for work in self.queue.remove_all():
                 self._end_attempt(
                     work.item, Outcome.NOT_RUN, closed, self._closed_retry_after_s(closed, now_s)
                 )
             return
-        for work in self.queue.take_hopeless(now_s, self.meter.backlog_s):
+        for work in self.queue.remove_infeasible(now_s, self.meter.backlog_s):
             retry_after_s = self.retry_after_s()
             self._end_attempt(work.item, Outcome.NOT_RUN, Reason.DEADLINE_TOO_SHORT, retry_after_s)
         while self._may_hand_over_more(now_s):
-            next_work = self.queue.next()
+            next_work = self.queue.dequeue()
             if next_work is None:
                 return
             self._hand_over(next_work, now_s)
@@ -195,7 +195,7 @@
         record.state = AttemptState.HANDED
         submit = record.submit
         self._handed_over[submit.attempt] = record
-        self.meter.started(submit.attempt, submit.blocks, work.prefill_tokens, now_s)
+        self.meter.record_start(submit.attempt, submit.blocks, work.prefill_tokens, now_s)
         self._membership.limit.record_request(now_s)
         valid_until_s = min(gate.valid_until_s(), work.deadline_s)
         self._outbox.add(HandOver(submit, valid_until_s))
@@ -226,7 +226,7 @@
             return
         answer = record.answer
         offset = answer.length
-        self.meter.first_token(attempt, now_s)
+        self.meter.record_first_token(attempt, now_s)
         answer.add(chunk.payload)
         answer.tokens += chunk.tokens
         answer.status = chunk.status
@@ -317,8 +317,8 @@
         self._outbox.send(sender, Settled(message.attempt, record.outcome, record.reason))
 
     def _withdraw_queued(self, sender: Peer, message: Withdraw, record: AttemptRecord) -> None:
-        queued_ids = {id(work) for work in self.queue.waiting() if work.item is record}
-        self.queue.remove_if(queued_ids)
+        queued_ids = {id(work) for work in self.queue.iter_queued() if work.item is record}
+        self.queue.remove_by_identity(queued_ids)
         record.state = AttemptState.DONE
         record.reason = Reason.WITHDRAWN
         self._outbox.send(sender, Settled(message.attempt, Outcome.NOT_RUN, Reason.WITHDRAWN))
@@ -365,7 +365,7 @@
 
     def on_epoch_changed(self, now_s: float) -> None:
         """End all attempts of the group that this agent has left."""
-        for work in self.queue.take_all():
+        for work in self.queue.remove_all():
             self._end_attempt(work.item, Outcome.NOT_RUN, Reason.STALE_EPOCH, CLOSED_RETRY_AFTER_S)
         for attempt, record in list(self._handed_over.items()):
             self._abort(attempt, record, Reason.GROUP_INCOMPLETE, now_s)
@@ -395,9 +395,9 @@
     def _free_slot(self, record: AttemptRecord, now_s: float) -> None:
         submit = record.submit
         assert submit is not None
-        self.meter.ended(submit.attempt, record.answer.tokens, submit.max_tokens, now_s)
+        self.meter.record_end(submit.attempt, record.answer.tokens, submit.max_tokens, now_s)
         self._handed_over.pop(submit.attempt, None)
-        self.queue.ended(submit.organisation)
+        self.queue.release_slot(submit.organisation)
 
     def _end_attempt(
         self, record: AttemptRecord, outcome: Outcome, reason: Reason, retry_after_s: float
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/crashes.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/crashes.py
@@ -46,7 +46,7 @@
 
     def check_request(self, fingerprint: Fingerprint, now_s: float) -> CrashVerdict:
         """Record that a request was made, and return whether it may be sent."""
-        verdict = self._book.asked(fingerprint, now_s)
+        verdict = self._book.check_request(fingerprint, now_s)
         if verdict.on_trial:
             self._outbox.count("crash.on_trial")
             self._outbox.log("request_on_trial", fingerprint=fingerprint)
@@ -56,20 +56,22 @@
     def record_crash(self, fingerprint: Fingerprint, target: InstanceId, now_s: float) -> None:
         """Record that a target's process ended while running a request."""
         self._outbox.count("crash.under_request")
-        if self._book.crashed(fingerprint, target, now_s):
+        if self._book.record_crash(fingerprint, target, now_s):
             self._log_crashes(fingerprint)
             self._send_sightings([fingerprint], self._neighbours, now_s)
 
     def record_finish(self, fingerprint: Fingerprint, now_s: float) -> None:
         """Record that a target completed a request and keeps running."""
-        if self._book.finished(fingerprint, now_s):
+        if self._book.record_completion(fingerprint, now_s):
             self._outbox.count("crash.cleared")
             self._send_sightings([fingerprint], self._neighbours, now_s)
 
     def on_news(self, sender: Peer, news: CrashNews, now_s: float) -> None:
         """Apply another entry's sightings, forward the new ones, and reply if it asks."""
         updated = [
-            sighting.fingerprint for sighting in news.sightings if self._book.hear(sighting, now_s)
+            sighting.fingerprint
+            for sighting in news.sightings
+            if self._book.merge_sighting(sighting, now_s)
         ]
         for fingerprint in updated:
             self._log_crashes(fingerprint)
@@ -96,7 +98,7 @@
 
     def _log_crashes(self, fingerprint: Fingerprint) -> None:
         """Log a request that has crashed several targets."""
-        crashes = self._book.crashes(fingerprint)
+        crashes = self._book.crash_count(fingerprint)
         if crashes < MIN_LOGGED_CRASHES:
             return
         fatal = crashes >= FATAL_CRASHES
