--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/calls.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/calls.py
@@ -114,7 +114,7 @@
         """Return how long a call must not be sent, as it is fatal; a call on trial is sent once."""
         if call.on_trial and not call.attempts:
             return 0.0
-        verdict = self._crashes.check_request(call.fingerprint, now_s)
+        verdict = self._crashes.on_request(call.fingerprint, now_s)
         call.on_trial = verdict.on_trial
         return verdict.fatal_for_s
 
@@ -261,7 +261,7 @@
         assert answer.total is not None
         complete = invariants.answer_is_whole(answer.received, answer.total, str(attempt.attempt))
         self._router.record_answer(attempt.group, str(attempt.attempt))
-        self._crashes.record_finish(call.fingerprint, now_s)
+        self._crashes.on_completion(call.fingerprint, now_s)
         outcome = Outcome.ANSWERED if complete else Outcome.UNKNOWN
         self._end(call, outcome, Reason.NONE if complete else Reason.ANSWER_SHORT, 0.0)
 
@@ -291,7 +291,7 @@
         call.may_have_run = call.may_have_run or outcome is Outcome.UNKNOWN
         if reason is Reason.TARGET_ENDED:
             target = InstanceId(call.attempt.peer.node)
-            self._crashes.record_crash(call.fingerprint, target, now_s)
+            self._crashes.on_crash(call.fingerprint, target, now_s)
         if reason in (Reason.BACKOFF, Reason.TARGET_LIMIT):
             self._router.back_off(call.attempt.group, now_s + retry_after_s, reason)
         is_failure = reason not in _BENIGN_REASONS
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/crashes.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/crashes.py
@@ -44,7 +44,7 @@
                 self._outbox.send(peer, CrashNews((), asks=True))
         self._queried = frozenset(peer.node for peer in self._neighbours)
 
-    def check_request(self, fingerprint: Fingerprint, now_s: float) -> CrashVerdict:
+    def on_request(self, fingerprint: Fingerprint, now_s: float) -> CrashVerdict:
         """Record that a request was made, and return whether it may be sent."""
         verdict = self._book.check_request(fingerprint, now_s)
         if verdict.on_trial:
@@ -53,14 +53,14 @@
             self._send_sightings([fingerprint], self._neighbours, now_s)
         return verdict
 
-    def record_crash(self, fingerprint: Fingerprint, target: InstanceId, now_s: float) -> None:
+    def on_crash(self, fingerprint: Fingerprint, target: InstanceId, now_s: float) -> None:
         """Record that a target's process ended while running a request."""
         self._outbox.count("crash.under_request")
         if self._book.record_crash(fingerprint, target, now_s):
             self._log_crashes(fingerprint)
             self._send_sightings([fingerprint], self._neighbours, now_s)
 
-    def record_finish(self, fingerprint: Fingerprint, now_s: float) -> None:
+    def on_completion(self, fingerprint: Fingerprint, now_s: float) -> None:
         """Record that a target completed a request and keeps running."""
         if self._book.record_completion(fingerprint, now_s):
             self._outbox.count("crash.cleared")
