--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/legacy.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/legacy.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Targets that the operators' old tools still run, as the router sees them."""
+"""Targets run by the operators' former tools, as replicas for the router."""
 
 from ochreway_core.bundle import Bundle, Model
 from ochreway_core.ids import GroupId, NodeId
@@ -7,15 +7,16 @@
 from ochreway_routing.replica import ReplicaView
 
 LEGACY_PREFIX = "legacy:"
-SLOTS_ASSUMED = 64
+ASSUMED_SLOTS = 64
+"""Number of slots that each legacy target is assumed to have."""
 
 
 def legacy_replicas(bundle: Bundle) -> list[ReplicaView]:
-    """Return a replica for each target that gets a share of a model's requests."""
-    return [replica for model in bundle.model for replica in _of_model(model)]
+    """Return a replica for each legacy target of a model with a legacy share."""
+    return [replica for model in bundle.model for replica in _model_replicas(model)]
 
 
-def _of_model(model: Model) -> list[ReplicaView]:
+def _model_replicas(model: Model) -> list[ReplicaView]:
     if model.legacy is None or not model.legacy.share_percent:
         return []
     return [_replica(model, url, model.legacy.share_percent) for url in model.legacy.targets]
@@ -26,14 +27,14 @@
         group=GroupId(f"{LEGACY_PREFIX}{model.name}:{url}"),
         target=model.name,
         leader=Peer(NodeId(LEGACY_PREFIX + url), url),
-        slots=SLOTS_ASSUMED,
+        slots=ASSUMED_SLOTS,
         adapters=frozenset(model.adapters),
         legacy_percent=percent,
     )
 
 
 def is_legacy(peer: Peer) -> bool:
-    """Tell whether the peer stands for a target of the old tools."""
+    """Return whether the peer represents a legacy target."""
     return peer.node.startswith(LEGACY_PREFIX)
 
 
