--- a/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
@@ -171,7 +171,7 @@
             names = [each.node for each in self._peers.all()]
             self._loans.beat(names, bool(self._peers.alive(now_s)), now_s)
         if self._limits is not None:
-            self._limits.beat(self._peers.in_order(), self.meshed, now_s)
+            self._limits.tick(self._peers.in_order(), self.meshed, now_s)
         own = self._own_work(now_s)
         entries = self._to_name(now_s)
         for peer in self.contacts():
@@ -275,7 +275,7 @@
             self._loans.borrow(heartbeat.loan, self._own_echo_s(heartbeat, now_s), now_s)
         if self._limits is not None:
             echo_s, delay_s = self._own_echo_s(heartbeat, now_s), _delay_s(heartbeat, now_s)
-            self._limits.hear(sender.node, heartbeat.pool, echo_s, delay_s, now_s)
+            self._limits.on_news(sender.node, heartbeat.pool, echo_s, delay_s, now_s)
         self._take_version(sender, heartbeat, now_s)
         self._compare_views(sender, heartbeat, now_s)
         if heartbeat.wanted and sender.node not in self._contacts:
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/allotment.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/allotment.py
@@ -7,7 +7,7 @@
 from ochreway_core.ids import InstanceId, NodeId
 from ochreway_core.rendezvous import rank
 
-DIGITS = 3
+REMAINDER_DIGITS = 3
 """Remainders that differ by less are taken as equal, so that targets differ in who gets more."""
 
 
@@ -25,22 +25,30 @@
         """
         if node not in self.parts:
             return 0
-        exact = {each: requests * part for each, part in self.parts.items()}
-        whole = {each: math.floor(of + 10.0**-DIGITS) for each, of in exact.items()}
-        left = math.floor(sum(exact.values()) + 10.0**-DIGITS) - sum(whole.values())
-        if left <= 0:
-            return whole[node]
-        order = {each: at for at, each in enumerate(rank(instance, exact))}
-        first = sorted(
-            exact, key=lambda each: (round(whole[each] - exact[each], DIGITS), order[each])
+        exact = {entry: requests * part for entry, part in self.parts.items()}
+        whole_requests = {
+            entry: math.floor(amount + 10.0**-REMAINDER_DIGITS) for entry, amount in exact.items()
+        }
+        remaining = math.floor(sum(exact.values()) + 10.0**-REMAINDER_DIGITS) - sum(
+            whole_requests.values()
         )
-        return whole[node] + (node in first[:left])
+        if remaining <= 0:
+            return whole_requests[node]
+        ranks = {entry: position for position, entry in enumerate(rank(instance, exact))}
+        by_remainder = sorted(
+            exact,
+            key=lambda entry: (
+                round(whole_requests[entry] - exact[entry], REMAINDER_DIGITS),
+                ranks[entry],
+            ),
+        )
+        return whole_requests[node] + (node in by_remainder[:remaining])
 
-    def differs(self, other: "Allotment", by: float) -> bool:
+    def differs(self, other: "Allotment", tolerance: float) -> bool:
         """Tell whether another allotment has other entries, or a part that differs by so much."""
         if self.parts.keys() != other.parts.keys():
             return True
-        return any(abs(part - other.parts[node]) > by for node, part in self.parts.items())
+        return any(abs(part - other.parts[node]) > tolerance for node, part in self.parts.items())
 
 
 __all__ = ["Allotment"]
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitgate.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitgate.py
@@ -26,13 +26,13 @@
         if limit_per_s is None:
             return 0.0
         quota = Quota.of(limit_per_s)
-        own = self._pool.requests_of(quota, instance, now_s)
-        if not own:
+        own_requests = self._pool.requests_of(quota, instance, now_s)
+        if not own_requests:
             return quota.each_s
         window = self._windows.get(instance)
         if window is None:
             return 0.0
-        return window.free_in_s(own, now_s, quota.span_s)
+        return window.free_in_s(own_requests, now_s, quota.span_s)
 
     def sent(self, attempt: Attempt) -> None:
         """Count a request that is about to be sent to its target."""
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitspread.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitpropagation.py
@@ -7,50 +7,50 @@
 from ochreway_direct.targetlimits.poolnews import LimitNews
 from ochreway_routing.targetlimits import LimitWord, TargetLimits
 
-NEWS_S = 2.0
+CHANGE_ANNOUNCED_FOR_S = 2.0
 """For how long it is told that a limit changed: several heartbeats, some of which may be lost."""
-NEWS_AT_MOST = 16
-IN_TURN = 2
+MAX_CHANGES_PER_HEARTBEAT = 16
+ROTATED_PER_HEARTBEAT = 2
 """How many changed limits, and how many others in turn, a heartbeat tells of.
 
 Whoever sends to a target hears its limit itself; the others need not know it at once.
 """
-OVER_TOLD_S = 20.0
+END_ANNOUNCED_FOR_S = 20.0
 """For how long it is told that a limit is over, to entries that were cut off meanwhile too."""
 
 
-class LimitSpread:
+class LimitPropagation:
     """Tell of limits with each heartbeat: those that changed first, then all in turn."""
 
     def __init__(self, limits: TargetLimits) -> None:
         self._limits = limits
-        self._turn: list[str] = []
+        self._rotation: list[str] = []
 
     def news(self, now_s: float) -> tuple[LimitNews, ...]:
         """Return what to tell now."""
-        changed = self._limits.changed(now_s - NEWS_S)[-NEWS_AT_MOST:]
-        if not self._turn:
-            self._turn = self._limits.targets()
-        told = dict.fromkeys((*changed, *self._turn[-IN_TURN:]))
-        del self._turn[-IN_TURN:]
-        words = ((target, self._limits.word(target)) for target in told)
+        changed = self._limits.changed(now_s - CHANGE_ANNOUNCED_FOR_S)[-MAX_CHANGES_PER_HEARTBEAT:]
+        if not self._rotation:
+            self._rotation = self._limits.targets()
+        announced = dict.fromkeys((*changed, *self._rotation[-ROTATED_PER_HEARTBEAT:]))
+        del self._rotation[-ROTATED_PER_HEARTBEAT:]
+        latest = ((target, self._limits.word(target)) for target in announced)
         return tuple(
             LimitNews(InstanceId(target), word.limit_per_s, now_s - word.heard_s, word.born_ms)
-            for target, word in words
-            if word is not None and _told(word, now_s)
+            for target, word in latest
+            if word is not None and _is_announced(word, now_s)
         )
 
-    def hear(self, news: Iterable[LimitNews], delay_s: float, now_s: float) -> list[LimitNews]:
+    def on_news(self, news: Iterable[LimitNews], delay_s: float, now_s: float) -> list[LimitNews]:
         """Take what another entry tells, which was on its way for some time; return what is new."""
-        return [each for each in news if self._take(each, now_s - delay_s, now_s)]
+        return [each for each in news if self._record(each, now_s - delay_s, now_s)]
 
-    def _take(self, news: LimitNews, told_s: float, now_s: float) -> bool:
-        word = LimitWord(news.limit_per_s, told_s - news.age_s, news.born_ms)
+    def _record(self, news: LimitNews, sent_s: float, now_s: float) -> bool:
+        word = LimitWord(news.limit_per_s, sent_s - news.age_s, news.born_ms)
         return self._limits.take(news.instance, word, now_s)
 
 
-def _told(word: LimitWord, now_s: float) -> bool:
-    return word.limit_per_s is not None or now_s - word.heard_s < OVER_TOLD_S
+def _is_announced(word: LimitWord, now_s: float) -> bool:
+    return word.limit_per_s is not None or now_s - word.heard_s < END_ANNOUNCED_FOR_S
 
 
-__all__ = ["NEWS_AT_MOST", "LimitSpread"]
+__all__ = ["MAX_CHANGES_PER_HEARTBEAT", "LimitPropagation"]
--- a/packages/ochreway-standins/src/ochreway_standins/slopes/targetlimits.py
+++ b/packages/ochreway-standins/src/ochreway_standins/slopes/targetlimits.py
@@ -8,8 +8,11 @@
 from ochreway_direct.relay.attempt import Attempt
 from ochreway_direct.sendlimits.standingshare import StandingShare
 from ochreway_direct.targetlimits.limitgate import LimitGate
-from ochreway_direct.targetlimits.limitpool import QUIET_S, LimitPool
-from ochreway_direct.targetlimits.limitspread import NEWS_AT_MOST, LimitSpread
+from ochreway_direct.targetlimits.limitpool import NEW_LEADER_DELAY_S, LimitPool
+from ochreway_direct.targetlimits.limitpropagation import (
+    MAX_CHANGES_PER_HEARTBEAT,
+    LimitPropagation,
+)
 from ochreway_direct.targetlimits.poolnews import PoolNews
 from ochreway_routing.targetlimits import KNOWN_AT_MOST, LimitWord, TargetLimits
 from ochreway_standins.slopes.crashes import each_us
@@ -29,11 +32,11 @@
     me, *others = (NodeId(f"front-guro-hall-{n:02}") for n in range(entries))
     standing = StandingShare(me, 3, 0.0)
     pool = LimitPool(me, standing, 0.0)
-    for now_s in (NOW_S - 60.0, NOW_S - 2.0 * QUIET_S, NOW_S):
+    for now_s in (NOW_S - 60.0, NOW_S - 2.0 * NEW_LEADER_DELAY_S, NOW_S):
         standing.learn(others, True, now_s)
         for other in others:
-            pool.hear(other, PoolNews(follows=True, asked_per_s=40.0), None, now_s)
-        pool.beat((me, *others), True, 40.0, now_s)
+            pool.on_news(other, PoolNews(follows=True, asked_per_s=40.0), None, now_s)
+        pool.tick((me, *others), True, 40.0, now_s)
     return pool
 
 
@@ -65,12 +68,15 @@
     none_us = each_us(lambda: gate.wait_s(named(KNOWN_AT_MOST), None, NOW_S))
     limited_us = each_us(lambda: gate.wait_s(named(1), 1, NOW_S))
     print(f"slope=limit_look none_us={none_us:.2f} limited_us={limited_us:.2f} mb={held_mb:.2f}")
-    spread = LimitSpread(limits)
+    spread = LimitPropagation(limits)
     news_us = each_us(lambda: spread.news(NOW_S))
     told = pool.news_for(NodeId("other"), spread.news(NOW_S), True, NOW_S)
     quiet = pool.news_for(NodeId("other"), (), False, NOW_S)
     sizes = f"quiet_bytes={len(encode(quiet))} told_bytes={len(encode(told))}"
-    print(f"slope=limit_news targets={NEWS_AT_MOST} full_us={news_us:.0f} {sizes}", flush=True)
+    print(
+        f"slope=limit_news targets={MAX_CHANGES_PER_HEARTBEAT} full_us={news_us:.0f} {sizes}",
+        flush=True,
+    )
 
 
 if __name__ == "__main__":
--- a/tests/direct/limitworld.py
+++ b/tests/direct/limitworld.py
@@ -16,14 +16,14 @@
 
 TARGET = InstanceId("i-1")
 STEP_S = 0.02
-BEAT_S = 0.3
-ALIVE_S = 1.0
-ANSWERED_S = 0.05
-SPAN_S = 4.0
+HEARTBEAT_INTERVAL_S = 0.3
+PEER_TIMEOUT_S = 1.0
+ANSWER_DELAY_S = 0.05
+LIMIT_WINDOW_S = 4.0
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class Heartbeat:
     """Hold what a heartbeat says of these matters."""
 
     sender: NodeId
@@ -45,49 +45,53 @@
         self.limits = TargetLimits()
         self.pool = LimitPool(name, self.standing, self.began_s)
         self.gate = LimitGate(self.limits, self.pool)
-        self.asked = 0
-        self.sharing = LimitSharing(self.limits, self.pool, lambda: self.asked, RecordedLog())
-        self.heard: dict[NodeId, tuple[float, float]] = {}
+        self.requests = 0
+        self.sharing = LimitSharing(self.limits, self.pool, lambda: self.requests, RecordedLog())
+        self.last_received: dict[NodeId, tuple[float, float]] = {}
         self.names: set[NodeId] = set()
         self.paused_until_s = 0.0
-        self.asks_per_s = 10.0
-        self.beat_s = world.random.uniform(0.0, BEAT_S) + self.began_s
+        self.requests_per_s = 10.0
+        self.next_heartbeat_s = world.random.uniform(0.0, HEARTBEAT_INTERVAL_S) + self.began_s
 
-    def alive(self) -> list[NodeId]:
+    def alive_peers(self) -> list[NodeId]:
         now_s = self._world.now_s
-        return [n for n, (at_s, _) in self.heard.items() if now_s - at_s < ALIVE_S]
+        return [n for n, (at_s, _) in self.last_received.items() if now_s - at_s < PEER_TIMEOUT_S]
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         now_s = self._world.now_s
-        alive = self.alive()
+        alive = self.alive_peers()
         self.standing.learn(self.names, bool(alive), now_s)
-        self.sharing.beat(sorted([*self.heard, self.name]), True, now_s)
+        self.sharing.tick(sorted([*self.last_received, self.name]), True, now_s)
         for peer in self._world.names():
             if peer != self.name:
-                echo_s = self.heard[peer][1] if peer in self.heard else None
+                echo_s = self.last_received[peer][1] if peer in self.last_received else None
                 news = self.sharing.news_for(peer, now_s)
                 names = (*self.names, self.name)
-                self._world.send(peer, Beat(self.name, now_s, echo_s, names, news, 0.0))
+                self._world.send(peer, Heartbeat(self.name, now_s, echo_s, names, news, 0.0))
 
-    def hear(self, beat: Beat) -> None:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> None:
         now_s = self._world.now_s
-        self.heard[beat.sender] = (now_s, beat.sent_s)
-        self.names.update(each for each in beat.names if each != self.name)
-        echo_s = beat.echo_s if beat.echo_s is not None and beat.echo_s >= self.began_s else None
-        self.sharing.hear(beat.sender, beat.news, echo_s, 0.0, now_s)
+        self.last_received[heartbeat.sender] = (now_s, heartbeat.sent_s)
+        self.names.update(each for each in heartbeat.names if each != self.name)
+        echo_s = (
+            heartbeat.echo_s
+            if heartbeat.echo_s is not None and heartbeat.echo_s >= self.began_s
+            else None
+        )
+        self.sharing.on_news(heartbeat.sender, heartbeat.news, echo_s, 0.0, now_s)
 
-    def step(self) -> None:
+    def maybe_send_request(self) -> None:
         """Send a request if one comes and the target may be sent it."""
-        if self._world.random.random() >= self.asks_per_s * STEP_S:
+        if self._world.random.random() >= self.requests_per_s * STEP_S:
             return
         now_s = self._world.now_s
-        self.asked += 1
+        self.requests += 1
         if self.gate.wait_s(TARGET, None, now_s) > 0.0:
             return
         attempt = Attempt(TARGET, "address", HallId("h"), TARGET, begun_s=now_s)
         attempt.record_written(now_s)
         self.gate.sent(attempt)
-        self._world.arrived(self)
+        self._world.record_arrival(self)
 
 
 @dataclass
@@ -98,97 +102,107 @@
     seeds: int
     limit_per_s: float | None = None
     now_s: float = 100.0
-    lost_part: float = 0.0
-    slowest_s: float = 0.05
+    loss_rate: float = 0.0
+    max_delay_s: float = 0.05
     arrivals: list[tuple[float, NodeId]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
         self.entries: dict[NodeId, LimitEntry] = {}
-        self.cut: set[frozenset[NodeId]] = set()
-        self._beats: list[tuple[NodeId, Beat]] = []
+        self.cut_links: set[frozenset[NodeId]] = set()
+        self._heartbeats: list[tuple[NodeId, Heartbeat]] = []
         self._answers: list[tuple[float, NodeId, float | None]] = []
 
     def names(self) -> list[NodeId]:
         return list(self.entries)
 
-    def enter(self, name: str) -> LimitEntry:
+    def add_entry(self, name: str) -> LimitEntry:
         node = NodeId(name)
         self.entries[node] = LimitEntry(self, node, self.seeds)
         return self.entries[node]
 
-    def leave(self, name: str) -> None:
+    def remove_entry(self, name: str) -> None:
         del self.entries[NodeId(name)]
 
-    def cut_off(self, *names: str) -> None:
+    def isolate(self, *names: str) -> None:
         """Cut some entries off from all the others, not from each other."""
-        away = set(map(NodeId, names))
+        isolated = set(map(NodeId, names))
         for one in self.entries:
-            self.cut |= {frozenset((one, each)) for each in away if one not in away}
+            self.cut_links |= {frozenset((one, each)) for each in isolated if one not in isolated}
 
-    def send(self, to: NodeId, beat: Beat) -> None:
-        if frozenset((to, beat.sender)) in self.cut or self.random.random() < self.lost_part:
+    def send(self, receiver: NodeId, heartbeat: Heartbeat) -> None:
+        if (
+            frozenset((receiver, heartbeat.sender)) in self.cut_links
+            or self.random.random() < self.loss_rate
+        ):
             return
-        arrives_s = self.now_s + self.random.uniform(0.001, self.slowest_s)
+        arrives_s = self.now_s + self.random.uniform(0.001, self.max_delay_s)
         # Links keep the order of what is sent over them.
         last_s = max(
-            (b.arrives_s for n, b in self._beats if (n, b.sender) == (to, beat.sender)), default=0.0
+            (
+                b.arrives_s
+                for n, b in self._heartbeats
+                if (n, b.sender) == (receiver, heartbeat.sender)
+            ),
+            default=0.0,
         )
-        self._beats.append(
+        self._heartbeats.append(
             (
-                to,
-                Beat(
-                    beat.sender,
-                    beat.sent_s,
-                    beat.echo_s,
-                    beat.names,
-                    beat.news,
+                receiver,
+                Heartbeat(
+                    heartbeat.sender,
+                    heartbeat.sent_s,
+                    heartbeat.echo_s,
+                    heartbeat.names,
+                    heartbeat.news,
                     max(arrives_s, last_s),
                 ),
             )
         )
 
-    def arrived(self, entry: LimitEntry) -> None:
+    def record_arrival(self, entry: LimitEntry) -> None:
         self.arrivals.append((self.now_s, entry.name))
-        self._answers.append((self.now_s + ANSWERED_S, entry.name, self.limit_per_s))
+        self._answers.append((self.now_s + ANSWER_DELAY_S, entry.name, self.limit_per_s))
 
-    def run(self, for_s: float) -> None:
-        end_s = self.now_s + for_s
+    def run(self, duration_s: float) -> None:
+        end_s = self.now_s + duration_s
         while self.now_s < end_s:
             self.now_s += STEP_S
             self._deliver()
             for entry in list(self.entries.values()):
                 if self.now_s < entry.paused_until_s:
                     continue
-                if self.now_s >= entry.beat_s:
-                    entry.beat_s = self.now_s + BEAT_S
-                    entry.beat()
-                entry.step()
+                if self.now_s >= entry.next_heartbeat_s:
+                    entry.next_heartbeat_s = self.now_s + HEARTBEAT_INTERVAL_S
+                    entry.send_heartbeats()
+                entry.maybe_send_request()
 
     def _deliver(self) -> None:
-        due = [each for each in self._beats if each[1].arrives_s <= self.now_s]
-        self._beats = [each for each in self._beats if each[1].arrives_s > self.now_s]
-        for to, beat in due:
-            entry = self.entries.get(to)
+        due = [each for each in self._heartbeats if each[1].arrives_s <= self.now_s]
+        self._heartbeats = [each for each in self._heartbeats if each[1].arrives_s > self.now_s]
+        for receiver, heartbeat in due:
+            entry = self.entries.get(receiver)
             if entry is None:
                 continue
             if self.now_s < entry.paused_until_s:
-                self._beats.append((to, beat))
+                self._heartbeats.append((receiver, heartbeat))
                 continue
-            entry.hear(beat)
+            entry.on_heartbeat(heartbeat)
         answers = [each for each in self._answers if each[0] <= self.now_s]
         self._answers = [each for each in self._answers if each[0] > self.now_s]
         for _, name, limit_per_s in answers:
             if name in self.entries:
                 self.entries[name].limits.take(TARGET, LimitWord(limit_per_s, self.now_s))
 
-    def came(self, since_s: float, until_s: float) -> int:
+    def count_arrivals(self, since_s: float, until_s: float) -> int:
         return sum(since_s <= at_s < until_s for at_s, _ in self.arrivals)
 
-    def busiest(self, since_s: float, excused: frozenset[str] = frozenset()) -> int:
+    def max_per_window(self, since_s: float, excluded: frozenset[str] = frozenset()) -> int:
         """Return the most that came within a span since a time."""
-        at_s = [at for at, name in self.arrivals if at >= since_s and name not in excused]
-        return max((sum(one <= each < one + SPAN_S for each in at_s) for one in at_s), default=0)
+        at_s = [at for at, name in self.arrivals if at >= since_s and name not in excluded]
+        return max(
+            (sum(one <= each < one + LIMIT_WINDOW_S for each in at_s) for one in at_s), default=0
+        )
 
 
-__all__ = ["SPAN_S", "LimitWorld"]
+__all__ = ["LIMIT_WINDOW_S", "LimitWorld"]
