--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/__init__.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Limits that targets name, kept by all entries together."""
+"""Request limits announced by targets, enforced by all entries together."""
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/allotment.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/allotment.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which part of each limit every entry has."""
+"""Shares of the entries in each limit."""
 
 import math
 from dataclasses import dataclass, field
@@ -8,20 +8,26 @@
 from ochreway_core.rendezvous import rank
 
 REMAINDER_DIGITS = 3
-"""Remainders that differ by less are taken as equal, so that targets differ in who gets more."""
+"""Decimals to which remainders are compared.
+
+Remainders that differ by less count as equal, so that for each target other entries come first.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class Allotment:
-    """Hold parts of one; whoever has the same allotment works out the same whole requests."""
+    """Hold the entries' shares, as fractions of one.
+
+    All entries with the same allotment compute the same whole numbers of requests.
+    """
 
     parts: dict[NodeId, float] = field(default_factory=dict)
 
     def requests_of(self, node: NodeId, requests: int, instance: InstanceId) -> int:
-        """Return how many of a target's requests within a span an entry has.
+        """Return how many of a target's requests per quota window an entry may send.
 
-        What is left over when each has the whole ones goes to the largest remainders, equal
-        ones in an order that is another for each target.
+        Each entry gets its exact amount rounded down. What is left goes to the largest remainders;
+        equal remainders are ordered differently for each target.
         """
         if node not in self.parts:
             return 0
@@ -45,7 +51,7 @@
         return whole_requests[node] + (node in by_remainder[:remaining])
 
     def differs(self, other: "Allotment", tolerance: float) -> bool:
-        """Tell whether another allotment has other entries, or a part that differs by so much."""
+        """Return whether another allotment has other entries or a share that differs by more."""
         if self.parts.keys() != other.parts.keys():
             return True
         return any(abs(part - other.parts[node]) > tolerance for node, part in self.parts.items())
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitgate.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitgate.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Whether a target that named a limit may be sent one more request by this entry now."""
+"""Gate for requests to targets that announced a limit."""
 
 from ochreway_core.ids import InstanceId
 from ochreway_direct.relay.attempt import Attempt
@@ -10,7 +10,7 @@
 
 
 class LimitGate:
-    """Keep what each target with a limit is sent within this entry's part of it."""
+    """Keep this entry's requests to each limited target within its share of the limit."""
 
     def __init__(self, limits: TargetLimits, pool: LimitPool) -> None:
         self._limits = limits
@@ -18,9 +18,9 @@
         self._windows: dict[InstanceId, SendWindow] = {}
 
     def wait_s(self, instance: InstanceId, born_ms: int | None, now_s: float) -> float:
-        """Return how soon a target may be sent one more request; 0 if it may now.
+        """Return how soon a target may be sent another request; 0 if it may now.
 
-        Where this entry has no part, it is the time after which some entry may send one.
+        If this entry has no share, this is the time after which some other entry may send one.
         """
         limit_per_s = self._limits.limit_per_s(instance, born_ms)
         if limit_per_s is None:
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitpool.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitpool.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Dividing limits among the entries that hear each other, by what each is asked for.
+"""Division of limits among connected entries, in proportion to their request rates.
 
-One of them keeps the pool and tells the others their parts; it needs neither the store nor the
-lease. An entry is in one pool at a time, and a pool divides no more than its members' share of
-all entries that are known, so pools that do not hear each other add up to no more than a limit.
+One entry of a pool is its leader and sends the others their shares; this needs neither the store
+nor the lease. An entry is in one pool at a time, and a pool divides no more than its members'
+share of all known entries. So pools that are cut off from each other never exceed a limit
+together.
 """
 
 import math
@@ -17,42 +18,51 @@
 from ochreway_routing.quota import Quota
 
 MAX_CACHED_TARGETS = 8192
-"""Of how many targets' limits this entry's part is kept as it was worked out."""
+"""Number of targets for which this entry's computed number of requests is cached."""
 PEER_TIMEOUT_S = 2.0
-"""For how long an entry that is silent is still taken to be there: a busy one is late at times."""
+"""Silence after which an entry counts as lost; a busy one may send its heartbeats late."""
 SHARES_TIMEOUT_S = 4.0
-"""For how long parts hold without word from the keeper: a new one takes over within that time."""
+"""How long shares are valid without a message from the leader.
+
+A new leader takes over within that time.
+"""
 MEMBER_TIMEOUT_S = 3.0
-"""For how long an entry counts as a member after it said so."""
+"""How long an entry counts as a member after its last message that says so."""
 LIMIT_WINDOW_S = 4.0
-"""For how long what was sent by old parts counts beside what is sent by new ones."""
+"""How long requests sent under old shares count beside those sent under new ones."""
 TRANSITION_S = SHARES_TIMEOUT_S + LIMIT_WINDOW_S
-"""How long old and new parts hold together, each entry going by its least."""
+"""How long old and new shares are in force together; each entry uses its smaller one."""
 NEW_LEADER_DELAY_S = SHARES_TIMEOUT_S + 0.5
-"""How long a keeper that has no parts to go on with lets those of a former one lapse."""
+"""How long a new leader without shares to continue waits for those of a former one to expire."""
 ALONE_DELAY_S = 10.0
-"""After how long an entry that never heard another divides limits by the number it was told of."""
+"""Wait of an entry that never heard another one before it divides limits.
+
+It then goes by the number of entries that it was configured with.
+"""
 AMENDMENT_WINDOW_S = 3.0
-"""For how long new parts may be replaced by newer ones, as callers are still moving."""
+"""How long after the start of a transition the new shares may still be replaced.
+
+Callers may still be moving between entries.
+"""
 FOLLOW_DELAY_S = 2.0
-"""Within how long all entries that hear a new keeper follow it."""
+"""Time within which all entries that receive a new leader's heartbeats follow it."""
 MIN_SHARE_CHANGE = 0.15
-"""By how much the part of an entry has to differ before parts are changed.
+"""Difference of an entry's share that starts a transition to new shares.
 
-During a change less than the limit is used, so chance alone is not to bring one about.
+During a transition less than the limit is used, so random fluctuation must not start one.
 """
 WEIGHT_STEP = 0.5
-"""In what steps an entry is weighed against an average one.
+"""Step to which an entry's weight, relative to the average, is rounded.
 
-Entries that are asked for much the same have equal parts, which chance does not change.
+Entries with similar request rates so have equal shares, which do not fluctuate.
 """
 MIN_WEIGHT = 0.05
-"""What an entry that is asked for nothing counts beside an average one."""
+"""Weight, relative to the average, of an entry without requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Hold when an entry said that it follows this one, what it is asked for, and its mark."""
+    """Hold a follower's last message time, its request rate and the version of its shares."""
 
     last_received_s: float
     requests_per_s: float
@@ -60,14 +70,14 @@
 
 
 class LimitPool:
-    """Keep a pool, or be a member of one."""
+    """Lead a pool, or be a member of one."""
 
     def __init__(self, me: NodeId, static_share: StandingShare, started_s: float) -> None:
-        """Start without any part; ``standing`` knows how many entries there are.
+        """Start without any share; ``static_share`` knows the number of entries.
 
-        ``_since_s`` is when the newest parts were first told, ``_begun_s`` when the change that
-        they belong to began, ``_keeper_s`` when this entry took the pool over, and ``_told_s``
-        when it last told its parts to anybody.
+        ``_announced_s`` is when the newest allotment was first announced, ``_transition_began_s``
+        when the transition to it began, ``_leader_since_s`` when this entry became the leader, and
+        ``_last_sent_s`` when it last sent allotments to any entry.
         """
         self._me = me
         self._static_share = static_share
@@ -83,19 +93,19 @@
         self._announced_s = self._transition_began_s = started_s
         self._leader_since_s = started_s
         self._last_sent_s = -math.inf
-        # Marks of a former life must not be taken for this one's.
+        # Versions of a former incarnation must not be confused with those of this one.
         self._version = int(started_s * 1000)
         self._held_version = 0
         self._request_cache: dict[tuple[InstanceId, int], int] = {}
 
-    # Who keeps the pool.
+    # Leader of the pool
 
     def tick(
         self, ranked_entries: Sequence[NodeId], full_mesh: bool, requests_per_s: float, now_s: float
     ) -> None:
-        """Choose the keeper among the entries heard, this one too, and divide anew as keeper.
+        """Choose the leader among the live entries and, as leader, update the allotments.
 
-        Whoever keeps a pool goes on while it is heard, as a change costs everyone its part.
+        A leader stays while it is alive, as a change interrupts the shares of all members.
         """
         self._full_mesh = full_mesh
         self._requests_per_s = requests_per_s
@@ -120,7 +130,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this entry divides the limits."""
+        """Return whether this entry divides the limits."""
         return self._leader == self._me
 
     def _leads_with_shares(self, node: NodeId) -> bool:
@@ -130,13 +140,13 @@
         if leader == self._leader:
             return
         if self.is_leader and self._allotments:
-            # The others go on by these parts until they hear from the new keeper.
+            # The others use these shares until they receive a message from the new leader.
             self._valid_until_s = now_s + SHARES_TIMEOUT_S
         self._leader = leader
         self._held_version = 0
         if not self.is_leader:
             return
-        # A former keeper's parts are gone on with: they still add up, whoever tells of them.
+        # A former leader's shares are continued: their sum is right whoever announces them.
         self._set_allotments(self._allotments if now_s < self._valid_until_s else ())
         self._announced_s = self._leader_since_s = now_s
         self._last_sent_s = now_s
@@ -147,7 +157,7 @@
             self._version += 1
             self._request_cache.clear()
 
-    # Dividing, as keeper.
+    # Division as leader
 
     def _update_allotments(self, now_s: float) -> None:
         desired = self._desired_allotment(now_s)
@@ -157,7 +167,7 @@
             if now_s - self._announced_s >= NEW_LEADER_DELAY_S:
                 self._set_allotments((desired,))
         elif now_s - self._last_sent_s >= TRANSITION_S:
-            # Nobody holds any part, as there was no limit to tell of.
+            # No entry has valid shares, as there was no limit to announce.
             self._set_allotments((desired,))
         elif len(self._allotments) == 1:
             if desired.differs(self._allotments[0], MIN_SHARE_CHANGE):
@@ -175,7 +185,7 @@
         self._announced_s = now_s
 
     def _end_transition(self, desired: Allotment, now_s: float) -> None:
-        """Let only the new parts hold, if those whose share they divide are members still."""
+        """Put only the new shares in force, if all entries that they include are still members."""
         new = self._allotments[1]
         if new.parts.keys() <= desired.parts.keys():
             self._set_allotments((new,))
@@ -183,7 +193,7 @@
             self._start_transition(desired, now_s)
 
     def _desired_allotment(self, now_s: float) -> Allotment | None:
-        """Return the parts by what members are asked for; None before all entries are known."""
+        """Return shares by the members' request rates; None before all entries are known."""
         if not self._static_share.settled(now_s) and now_s - self._started_s < ALONE_DELAY_S:
             return None
         demand = {node: each.requests_per_s for node, each in self._members.items()}
@@ -195,12 +205,12 @@
             {node: known_share * each / total_weight for node, each in weights.items()}
         )
 
-    # What is told and heard.
+    # Messages between entries
 
     def news_for(
         self, node: NodeId, limits: tuple[LimitNews, ...], any_limit: bool, now_s: float
     ) -> PoolNews:
-        """Return what another entry is told; parts only while any target has a limit."""
+        """Return the message for another entry, with allotments only while a limit exists."""
         sends_allotments = self.is_leader and any_limit
         if sends_allotments:
             self._last_sent_s = now_s
@@ -217,7 +227,7 @@
         )
 
     def on_news(self, sender: NodeId, news: PoolNews, echo_s: float | None, now_s: float) -> None:
-        """Take what another entry tells, with the newest time of this one's that it had heard."""
+        """Handle a message; ``echo_s`` is the latest of this entry's times that the sender had."""
         self._last_received_s[sender] = now_s
         if news.keeps:
             self._leading_peers.add(sender)
@@ -231,17 +241,17 @@
             self._adopt_allotments(news, echo_s)
 
     def _adopt_allotments(self, news: PoolNews, echo_s: float) -> None:
-        """Take the keeper's parts, or go on by those that it says still hold."""
+        """Adopt the leader's allotments, or extend those that it confirms."""
         if news.allotments:
             self._set_allotments(news.allotments)
             self._held_version = news.mark
         if self._held_version == news.mark:
             self._valid_until_s = echo_s + SHARES_TIMEOUT_S
 
-    # What is asked.
+    # Queries
 
     def requests_of(self, quota: Quota, instance: InstanceId, now_s: float) -> int:
-        """Return how many of a target's requests within a span are this entry's."""
+        """Return how many of a target's requests per quota window this entry may send."""
         if not self._full_mesh:
             return self._static_share.equal_of(quota.requests, instance, now_s)
         if not self.is_leader and now_s >= self._valid_until_s:
@@ -258,14 +268,14 @@
         return own_requests
 
     def current_share(self, now_s: float) -> float:
-        """Return which part of a limit this entry has."""
+        """Return this entry's share of each limit."""
         if not self.is_leader and now_s >= self._valid_until_s:
             return 0.0
         return min((each.parts.get(self._me, 0.0) for each in self._allotments), default=0.0)
 
 
 def _weights(requests_per_s: Mapping[NodeId, float]) -> dict[NodeId, float]:
-    """Return what each entry counts, by what it is asked for beside the others."""
+    """Return each entry's weight by its request rate relative to the average."""
     average = sum(requests_per_s.values()) / len(requests_per_s) or 1.0
     return {
         node: max(MIN_WEIGHT, WEIGHT_STEP * round(each / average / WEIGHT_STEP))
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitpropagation.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitpropagation.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Passing on what targets named, so that one entry's answer tells all."""
+"""Propagation of limits, so that all entries learn what one target answered to one entry."""
 
 from collections.abc import Iterable
 
@@ -8,26 +8,26 @@
 from ochreway_routing.targetlimits import LimitWord, TargetLimits
 
 CHANGE_ANNOUNCED_FOR_S = 2.0
-"""For how long it is told that a limit changed: several heartbeats, some of which may be lost."""
+"""How long a changed limit is announced first: several heartbeats, as some may be lost."""
 MAX_CHANGES_PER_HEARTBEAT = 16
 ROTATED_PER_HEARTBEAT = 2
-"""How many changed limits, and how many others in turn, a heartbeat tells of.
+"""How many changed limits, and how many others in rotation, a heartbeat carries.
 
-Whoever sends to a target hears its limit itself; the others need not know it at once.
+An entry that sends to a target learns its limit itself; others need not know it at once.
 """
 END_ANNOUNCED_FOR_S = 20.0
-"""For how long it is told that a limit is over, to entries that were cut off meanwhile too."""
+"""How long the end of a limit is announced, so that it reaches entries that were cut off."""
 
 
 class LimitPropagation:
-    """Tell of limits with each heartbeat: those that changed first, then all in turn."""
+    """Announce limits with each heartbeat: recent changes first, then all in rotation."""
 
     def __init__(self, limits: TargetLimits) -> None:
         self._limits = limits
         self._rotation: list[str] = []
 
     def news(self, now_s: float) -> tuple[LimitNews, ...]:
-        """Return what to tell now."""
+        """Return the limits to announce with the next heartbeats."""
         changed = self._limits.changed(now_s - CHANGE_ANNOUNCED_FOR_S)[-MAX_CHANGES_PER_HEARTBEAT:]
         if not self._rotation:
             self._rotation = self._limits.targets()
@@ -41,7 +41,10 @@
         )
 
     def on_news(self, news: Iterable[LimitNews], delay_s: float, now_s: float) -> list[LimitNews]:
-        """Take what another entry tells, which was on its way for some time; return what is new."""
+        """Record limits that another entry announced; return those that are new.
+
+        The message was under way for ``delay_s``.
+        """
         return [each for each in news if self._record(each, now_s - delay_s, now_s)]
 
     def _record(self, news: LimitNews, sent_s: float, now_s: float) -> bool:
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitsharing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitsharing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Limits as heartbeats carry them: what targets named, and how entries divide it."""
+"""Exchange of limits and shares with heartbeats."""
 
 from collections.abc import Callable, Sequence
 
@@ -11,11 +11,11 @@
 from ochreway_runtime.logs import EventLog
 
 RATE_SMOOTHING_S = 3.0
-"""Over what time the rate of requests is averaged: parts should not follow single callers."""
+"""Time over which the request rate is averaged; shares should not follow single callers."""
 
 
 class LimitSharing:
-    """Have limits known to all entries, and each know its part of them."""
+    """Make limits known to all entries, and each entry's share known to it."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         count_requests: Callable[[], int],
         log: EventLog,
     ) -> None:
-        """Share the limits; ``asked`` counts the requests that this entry was asked for."""
+        """Share the limits; ``count_requests`` returns how many requests this entry received."""
         self._limits = limits
         self._pool = pool
         self._propagation = LimitPropagation(limits)
@@ -38,7 +38,7 @@
         self._any_limit = False
 
     def tick(self, ranked_entries: Sequence[NodeId], full_mesh: bool, now_s: float) -> None:
-        """Take the entries heard now, the strongest first, and divide limits if it is due."""
+        """Measure the request rate and update the pool; live entries come strongest first."""
         self._update_rate(now_s)
         self._pool.tick(ranked_entries, full_mesh, self._requests_per_s, now_s)
         self._limit_news = self._propagation.news(now_s)
@@ -57,9 +57,9 @@
         self._requests_before, self._last_tick_s = requests, now_s
 
     def news_for(self, node: NodeId, now_s: float) -> PoolNews:
-        """Return what a heartbeat to another entry tells.
+        """Return the part of a heartbeat to another entry that concerns limits.
 
-        Ages hold for the time of the beat, so answers to others' heartbeats tell of no limits.
+        Ages refer to the time of the tick, so answers to others' heartbeats carry no limits.
         """
         limits = self._limit_news if now_s == self._last_tick_s else ()
         return self._pool.news_for(node, limits, self._any_limit, now_s)
@@ -72,7 +72,15 @@
         delay_s: float,
         now_s: float,
     ) -> None:
-        """Take what a heartbeat tells; it echoes a time of this entry and may have been delayed."""
+        """Handle the part of a heartbeat that concerns limits.
+
+        Args:
+            sender: the entry that sent it.
+            news: the limits and the state of the pool.
+            echo_s: the latest of this entry's times that the sender had received.
+            delay_s: how long the heartbeat may have been under way.
+            now_s: the time.
+        """
         self._pool.on_news(sender, news, echo_s, now_s)
         for changed_limit in self._propagation.on_news(news.limits, delay_s, now_s):
             self._log.event(
@@ -83,7 +91,7 @@
             )
 
     def gauges(self, now_s: float) -> dict[str, float]:
-        """Return how many targets have a limit, and which part of each this entry has."""
+        """Return how many targets have a limit, and this entry's share of each."""
         return {
             "targets_limited": float(self._limits.number()),
             "limit_part": self._pool.current_share(now_s),
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/poolnews.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/poolnews.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What entries tell each other of limits that targets named."""
+"""Messages between entries about limits that targets announced."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitNews:
-    """Tell what a target named and how long ago; without a limit, that it named none any more."""
+    """Announce a target's limit and its age; None means that the limit has ended."""
 
     instance: InstanceId
     limit_per_s: float | None
@@ -19,11 +19,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolNews:
-    """Tell who divides the limits, and how.
-
-    The sender ``keeps`` the pool, or ``follows`` the receiver in it. It is asked for so many
-    requests a second. ``allotments`` are all in force; from several, each takes its least. They
-    have a number, ``mark``, and are left out for whom ``holds`` them: then the mark goes on.
+    """Announce who leads a pool, and the shares of its members.
+
+    Attributes:
+        keeps: whether the sender leads the pool.
+        follows: whether the sender follows the receiver as its leader.
+        asked_per_s: requests per second that the sender receives.
+        mark: version of the leader's allotments. Sent alone it confirms those that the receiver
+            holds already.
+        holds: version of the allotments that the sender holds.
+        allotments: all allotments in force; each entry uses the smallest of its shares.
+        limits: limits of targets.
     """
 
     keeps: bool = False
--- a/tests/direct/limitworld.py
+++ b/tests/direct/limitworld.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Hold what a heartbeat says of these matters."""
+    """Hold the fields of a heartbeat that concern limits."""
 
     sender: NodeId
     sent_s: float
@@ -35,7 +35,7 @@
 
 
 class LimitEntry:
-    """Own an entry's gate, its pool and its clock."""
+    """An entry with its gate and its pool."""
 
     def __init__(self, world: "LimitWorld", name: NodeId, seeds: int) -> None:
         self._world = world
@@ -81,7 +81,7 @@
         self.sharing.on_news(heartbeat.sender, heartbeat.news, echo_s, 0.0, now_s)
 
     def maybe_send_request(self) -> None:
-        """Send a request if one comes and the target may be sent it."""
+        """Send a request if one arrives and the target may be sent it."""
         if self._world.random.random() >= self.requests_per_s * STEP_S:
             return
         now_s = self._world.now_s
@@ -96,7 +96,7 @@
 
 @dataclass
 class LimitWorld:
-    """Let time pass; ``limit_per_s`` is what the target names now."""
+    """Simulate entries in virtual time; ``limit_per_s`` is what the target announces now."""
 
     seed: int
     seeds: int
@@ -125,7 +125,7 @@
         del self.entries[NodeId(name)]
 
     def isolate(self, *names: str) -> None:
-        """Cut some entries off from all the others, not from each other."""
+        """Cut some entries off from all others, but not from each other."""
         isolated = set(map(NodeId, names))
         for one in self.entries:
             self.cut_links |= {frozenset((one, each)) for each in isolated if one not in isolated}
@@ -137,7 +137,7 @@
         ):
             return
         arrives_s = self.now_s + self.random.uniform(0.001, self.max_delay_s)
-        # Links keep the order of what is sent over them.
+        # Links deliver messages in order.
         last_s = max(
             (
                 b.arrives_s
@@ -198,7 +198,7 @@
         return sum(since_s <= at_s < until_s for at_s, _ in self.arrivals)
 
     def max_per_window(self, since_s: float, excluded: frozenset[str] = frozenset()) -> int:
-        """Return the most that came within a span since a time."""
+        """Return the most requests that arrived within any window since a time."""
         at_s = [at for at, name in self.arrivals if at >= since_s and name not in excluded]
         return max(
             (sum(one <= each < one + LIMIT_WINDOW_S for each in at_s) for one in at_s), default=0
--- a/tests/direct/test_limitcost.py
+++ b/tests/direct/test_limitcost.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What the limit on cold targets costs callers on ordinary days."""
+"""Cost of the limit on cold targets for callers on ordinary days."""
 
 import testtools
 
--- a/tests/direct/test_limitpool.py
+++ b/tests/direct/test_limitpool.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One limit for all entries together: kept and used up, whatever becomes of entries and links."""
+"""A limit is neither exceeded nor wasted when entries and links fail."""
 
 import math
 
@@ -20,12 +20,12 @@
 
 
 def max_allowed(per_s: float) -> float:
-    """Return what the users allow a target that named a limit within a span."""
+    """Return how many requests users allow within a window to a target with a limit."""
     return 1.5 * per_s * LIMIT_WINDOW_S + 5
 
 
 def settled_world(entries: int, seed: int = 1) -> LimitWorld:
-    """Return a world whose entries have known each other for a while."""
+    """Return a world whose entries have all received each other's heartbeats."""
     world = LimitWorld(seed, entries)
     for number in range(entries):
         world.add_entry(f"e{number}")
@@ -84,7 +84,7 @@
         )
 
     def set_limit(self, world: LimitWorld, limit_per_s: float) -> float:
-        """Have the target name a limit; return from when on it has to be kept."""
+        """Let the target announce a limit; return from when on it must be respected."""
         world.limit_per_s = limit_per_s
         since_s = world.now_s + PROPAGATION_S
         world.run(PROPAGATION_S)
@@ -143,7 +143,7 @@
             world.run(world.random.uniform(0.5, 8.0))
         self.assert_within_limit(world, since_s)
         world.run(3 * TRANSITION_S)
-        # The others are withheld what two that are gone may still have, in whole requests.
+        # Two departed entries still count: the others may not use their shares, in whole requests.
         requests = Quota.of(per_s).requests
         self.assert_used(world, 20.0, math.floor(requests * 5 / 7) / requests)
 
