--- a/packages/ochreway-direct/src/ochreway_direct/relay/calllog.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/calllog.py
@@ -38,7 +38,7 @@
             target=attempt.instance,
             group=attempt.group or "",
             epoch=attempt.epoch or "",
-            view=self._fleet.shown,
+            view=self._fleet.view_name,
             version=self._serving.version,
             load=attempt.load,
             pace=attempt.pace,
@@ -62,12 +62,12 @@
             "reason": refused.reason.value,
             "version": self._serving.version,
             "proof_age_s": round(self._serving.freshness.age_s(now_s), DURATION_DIGITS),
-            "view": self._fleet.shown,
+            "view": self._fleet.view_name,
         }
         if call is not None:
             fields |= self._call_fields(call, now_s)
             fields["places"] = len(
-                self._fleet.places(call.service, call.terms.model, call.allowed_halls)
+                self._fleet.eligible_groups(call.service, call.terms.model, call.allowed_halls)
             )
         self._log.failure("refused", **fields)
 
--- a/packages/ochreway-direct/src/ochreway_direct/relay/exchange.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/exchange.py
@@ -100,9 +100,9 @@
         return min(call.end_s, call.silent_since_s + silence_s)
 
     def _has_alternative(self, call: Call) -> bool:
-        if self._fleet.has_engines(call.service):
+        if self._fleet.has_serving_group(call.service):
             now_s = asyncio.get_running_loop().time()
-            available = self._fleet.taking(
+            available = self._fleet.count_accepting_groups(
                 call.service, call.terms.model, call.allowed_halls, now_s
             )
             return available > 1
@@ -206,7 +206,7 @@
         async for piece in response.content.iter_any():
             events = splitter.feed(piece)
             now_s = loop.time()
-            self._fleet.heard(attempt, now_s)
+            self._fleet.on_answer_part(attempt, now_s)
             attempt.extend(min(call.end_s, now_s + pause_s))
             if events:
                 # Recorded first: a cancelled write may have reached the caller all the same.
--- a/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
@@ -77,7 +77,7 @@
         try:
             call = await self._admission.admit(request, terms)
             self._check_fatal(call)
-            self._budget.requested()
+            self._budget.earn()
             self._serving.asked += 1
             answer = await self._run(call)
             self._call_log.answered(call, answer.status)
@@ -200,7 +200,9 @@
 
     def _requested_wait_s(self, call: Call, now_s: float) -> float:
         """Return how soon a target takes requests again; 0 if one does now, or there is none."""
-        return self._fleet.asked_wait_s(call.service, call.terms.model, call.allowed_halls, now_s)
+        return self._fleet.requested_wait_s(
+            call.service, call.terms.model, call.allowed_halls, now_s
+        )
 
     def _wait_reason(self, call: Call, now_s: float) -> Reason:
         """Return why targets take no request now: all back off, or limits are used up."""
@@ -209,7 +211,7 @@
         return Reason.BACKOFF if all_backed_off_now else Reason.TARGET_LIMIT
 
     def _all_closed(self, call: Call) -> bool:
-        return self._fleet.all_closed(call.service, call.terms.model, call.allowed_halls)
+        return self._fleet.all_halls_closed(call.service, call.terms.model, call.allowed_halls)
 
     def _max_wait_s(self, call: Call) -> float:
         if call.begun:
@@ -247,7 +249,7 @@
                 born_ms=group.born_ms,
             )
         target = self._fleet.pick_target(call.service, call.tried, call.allowed_halls, now_s)
-        if target is None and call.tried and not self._fleet.has_engines(call.service):
+        if target is None and call.tried and not self._fleet.has_serving_group(call.service):
             target = self._fleet.pick_target(call.service, (), call.allowed_halls, now_s)
         if target is None:
             return None
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitpropagation.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitpropagation.py
@@ -5,7 +5,7 @@
 
 from ochreway_core.ids import InstanceId
 from ochreway_direct.targetlimits.poolnews import LimitNews
-from ochreway_routing.targetlimits import LimitWord, TargetLimits
+from ochreway_routing.targetlimits import LimitNotice, TargetLimits
 
 CHANGE_ANNOUNCED_FOR_S = 2.0
 """How long a changed limit is announced first: several heartbeats, as some may be lost."""
@@ -28,16 +28,20 @@
 
     def news(self, now_s: float) -> tuple[LimitNews, ...]:
         """Return the limits to announce with the next heartbeats."""
-        changed = self._limits.changed(now_s - CHANGE_ANNOUNCED_FOR_S)[-MAX_CHANGES_PER_HEARTBEAT:]
+        changed = self._limits.changed_since(now_s - CHANGE_ANNOUNCED_FOR_S)[
+            -MAX_CHANGES_PER_HEARTBEAT:
+        ]
         if not self._rotation:
             self._rotation = self._limits.targets()
         announced = dict.fromkeys((*changed, *self._rotation[-ROTATED_PER_HEARTBEAT:]))
         del self._rotation[-ROTATED_PER_HEARTBEAT:]
-        latest = ((target, self._limits.word(target)) for target in announced)
+        latest = ((target, self._limits.latest_notice(target)) for target in announced)
         return tuple(
-            LimitNews(InstanceId(target), word.limit_per_s, now_s - word.heard_s, word.born_ms)
-            for target, word in latest
-            if word is not None and _is_announced(word, now_s)
+            LimitNews(
+                InstanceId(target), notice.limit_per_s, now_s - notice.received_s, notice.born_ms
+            )
+            for target, notice in latest
+            if notice is not None and _is_announced(notice, now_s)
         )
 
     def on_news(self, news: Iterable[LimitNews], delay_s: float, now_s: float) -> list[LimitNews]:
@@ -48,12 +52,12 @@
         return [each for each in news if self._record(each, now_s - delay_s, now_s)]
 
     def _record(self, news: LimitNews, sent_s: float, now_s: float) -> bool:
-        word = LimitWord(news.limit_per_s, sent_s - news.age_s, news.born_ms)
-        return self._limits.take(news.instance, word, now_s)
+        notice = LimitNotice(news.limit_per_s, sent_s - news.age_s, news.born_ms)
+        return self._limits.record_limit(news.instance, notice, now_s)
 
 
-def _is_announced(word: LimitWord, now_s: float) -> bool:
-    return word.limit_per_s is not None or now_s - word.heard_s < END_ANNOUNCED_FOR_S
+def _is_announced(notice: LimitNotice, now_s: float) -> bool:
+    return notice.limit_per_s is not None or now_s - notice.received_s < END_ANNOUNCED_FOR_S
 
 
 __all__ = ["MAX_CHANGES_PER_HEARTBEAT", "LimitPropagation"]
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitsharing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitsharing.py
@@ -42,7 +42,7 @@
         self._update_rate(now_s)
         self._pool.tick(ranked_entries, full_mesh, self._requests_per_s, now_s)
         self._limit_news = self._propagation.news(now_s)
-        self._any_limit = self._limits.number() > 0
+        self._any_limit = self._limits.limited_count() > 0
         if self._pool.is_leader is not self._was_leader:
             self._was_leader = self._pool.is_leader
             self._log.event("limit_pool", keeps=self._was_leader, entries=len(ranked_entries))
@@ -93,7 +93,7 @@
     def gauges(self, now_s: float) -> dict[str, float]:
         """Return how many targets have a limit, and this entry's share of each."""
         return {
-            "targets_limited": float(self._limits.number()),
+            "targets_limited": float(self._limits.limited_count()),
             "limit_part": self._pool.current_share(now_s),
         }
 
--- a/tests/direct/test_backoff.py
+++ b/tests/direct/test_backoff.py
@@ -80,7 +80,7 @@
             # As if the target had asked for a backoff while the connection was being made.
             running.fleet._backoffs = Backoffs()
             now_s = asyncio.get_running_loop().time()
-            running.backoffs.take("t0", TargetNotice(RETRY_AFTER_S), now_s)
+            running.backoffs.record_notice("t0", TargetNotice(RETRY_AFTER_S), now_s)
             self.assertEqual(200, (await running.send_request()).status)
             self.assertEqual([0, 1], [len(target.seen) for target in running.targets])
 
--- a/tests/direct/test_limitpool.py
+++ b/tests/direct/test_limitpool.py
@@ -11,7 +11,7 @@
 from ochreway_direct.sendlimits.standingshare import StandingShare
 from ochreway_direct.targetlimits.allotment import Allotment
 from ochreway_direct.targetlimits.limitpool import SHARES_TIMEOUT_S, TRANSITION_S, LimitPool
-from ochreway_routing.quota import LEAST_PER_S, Quota
+from ochreway_routing.quota import MIN_RATE_PER_S, Quota
 from tests.direct.limitworld import LIMIT_WINDOW_S, LimitWorld
 
 PROPAGATION_S = 3.0
@@ -36,9 +36,9 @@
 class QuotaTests(testtools.TestCase):
     @given(st.floats(1e-9, 1e12))
     def test_a_quota_is_kept_within_what_users_allow(self, limit_per_s: float) -> None:
-        quota = Quota.of(limit_per_s)
-        rate_per_s = max(limit_per_s, LEAST_PER_S)
-        self.assertAlmostEqual(rate_per_s, quota.requests / quota.span_s, delta=1e-6 * rate_per_s)
+        quota = Quota.for_limit(limit_per_s)
+        rate_per_s = max(limit_per_s, MIN_RATE_PER_S)
+        self.assertAlmostEqual(rate_per_s, quota.requests / quota.window_s, delta=1e-6 * rate_per_s)
         most_sent = quota.requests + rate_per_s * LIMIT_WINDOW_S
         self.assertLessEqual(most_sent, max_allowed(rate_per_s) * (1 + 1e-9))
 
@@ -144,7 +144,7 @@
         self.assert_within_limit(world, since_s)
         world.run(3 * TRANSITION_S)
         # Two departed entries still count: the others may not use their shares, in whole requests.
-        requests = Quota.of(per_s).requests
+        requests = Quota.for_limit(per_s).requests
         self.assert_used(world, 20.0, math.floor(requests * 5 / 7) / requests)
 
     def test_a_limit_is_used_again_at_once_after_the_leader_is_lost(self) -> None:
@@ -183,7 +183,7 @@
         since_s = world.now_s
         world.run(4.0)
         self.assertGreater(world.count_arrivals(since_s, world.now_s), 120)
-        self.assertEqual(0, sum(e.limits.number() for e in world.entries.values()))
+        self.assertEqual(0, sum(e.limits.limited_count() for e in world.entries.values()))
 
     def test_the_check_detects_a_limit_that_each_entry_applies_alone(self) -> None:
         world = settled_world(5)
@@ -197,7 +197,7 @@
 
     def test_equal_shares_of_many_entries_add_up_to_no_more_than_a_quota(self) -> None:
         names = [NodeId(f"e{n}") for n in range(1100)]
-        quota = Quota.of(10.0)
+        quota = Quota.for_limit(10.0)
         given_out = 0
         for me in names:
             standing = StandingShare(me, 3, 0.0)
--- a/tests/direct/test_placewait.py
+++ b/tests/direct/test_placewait.py
@@ -36,7 +36,7 @@
             for number in range(REQUESTS):
                 notice = TargetNotice(backoff_s=0.02 * number)
                 for target in running.targets:
-                    running.backoffs.take(target.name, notice, loop.time())
+                    running.backoffs.record_notice(target.name, notice, loop.time())
                 step_s = CLOCK_STEP_S
                 reply = await running.send_request()
                 step_s = 0.0
