--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitsharing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitsharing.py
@@ -5,7 +5,7 @@
 
 from ochreway_core.ids import NodeId
 from ochreway_direct.targetlimits.limitpool import LimitPool
-from ochreway_direct.targetlimits.limitpropagation import LimitPropagation
+from ochreway_direct.targetlimits.limitspread import LimitSpread
 from ochreway_direct.targetlimits.poolnews import LimitNews, PoolNews
 from ochreway_routing.targetlimits import TargetLimits
 from ochreway_runtime.logs import EventLog
@@ -27,7 +27,7 @@
         """Share the limits; ``count_requests`` returns how many requests this entry received."""
         self._limits = limits
         self._pool = pool
-        self._propagation = LimitPropagation(limits)
+        self._spread = LimitSpread(limits)
         self._count_requests = count_requests
         self._log = log
         self._requests_before = 0
@@ -41,7 +41,7 @@
         """Measure the request rate and update the pool; live entries come strongest first."""
         self._update_rate(now_s)
         self._pool.tick(ranked_entries, full_mesh, self._requests_per_s, now_s)
-        self._limit_news = self._propagation.news(now_s)
+        self._limit_news = self._spread.news(now_s)
         self._any_limit = self._limits.limited_count() > 0
         if self._pool.is_leader is not self._was_leader:
             self._was_leader = self._pool.is_leader
@@ -82,7 +82,7 @@
             now_s: the time.
         """
         self._pool.on_news(sender, news, echo_s, now_s)
-        for changed_limit in self._propagation.on_news(news.limits, delay_s, now_s):
+        for changed_limit in self._spread.on_news(news.limits, delay_s, now_s):
             self._log.event(
                 "target_limit_heard",
                 target=changed_limit.instance,
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitpropagation.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitspread.py
@@ -19,7 +19,7 @@
 """How long the end of a limit is announced, so that it reaches entries that were cut off."""
 
 
-class LimitPropagation:
+class LimitSpread:
     """Announce limits with each heartbeat: recent changes first, then all in rotation."""
 
     def __init__(self, limits: TargetLimits) -> None:
@@ -60,4 +60,4 @@
     return notice.limit_per_s is not None or now_s - notice.received_s < END_ANNOUNCED_FOR_S
 
 
-__all__ = ["MAX_CHANGES_PER_HEARTBEAT", "LimitPropagation"]
+__all__ = ["MAX_CHANGES_PER_HEARTBEAT", "LimitSpread"]
--- a/packages/ochreway-standins/src/ochreway_standins/slopes/targetlimits.py
+++ b/packages/ochreway-standins/src/ochreway_standins/slopes/targetlimits.py
@@ -9,9 +9,9 @@
 from ochreway_direct.sendlimits.standingshare import StandingShare
 from ochreway_direct.targetlimits.limitgate import LimitGate
 from ochreway_direct.targetlimits.limitpool import NEW_LEADER_DELAY_S, LimitPool
-from ochreway_direct.targetlimits.limitpropagation import (
+from ochreway_direct.targetlimits.limitspread import (
     MAX_CHANGES_PER_HEARTBEAT,
-    LimitPropagation,
+    LimitSpread,
 )
 from ochreway_direct.targetlimits.poolnews import PoolNews
 from ochreway_routing.targetlimits import MAX_TARGETS, LimitNotice, TargetLimits
@@ -68,7 +68,7 @@
     none_us = each_us(lambda: gate.wait_s(named(MAX_TARGETS), None, NOW_S))
     limited_us = each_us(lambda: gate.wait_s(named(1), 1, NOW_S))
     print(f"slope=limit_look none_us={none_us:.2f} limited_us={limited_us:.2f} mb={held_mb:.2f}")
-    spread = LimitPropagation(limits)
+    spread = LimitSpread(limits)
     news_us = each_us(lambda: spread.news(NOW_S))
     told = pool.news_for(NodeId("other"), spread.news(NOW_S), True, NOW_S)
     quiet = pool.news_for(NodeId("other"), (), False, NOW_S)
