--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/coordinator.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/coordinator.py
@@ -22,7 +22,7 @@
 from ochreway_direct.ids import ServiceName
 from ochreway_direct.lastmodels import LastModels
 from ochreway_direct.lists.listedtarget import ListedTarget
-from ochreway_direct.lists.listing import Listing
+from ochreway_direct.lists.listing import DepartureTracker
 from ochreway_direct.order import Join, Order, OrderOutcome, Stage
 from ochreway_direct.platformhealth import NEVER_S
 
@@ -67,7 +67,7 @@
         self._formation = Formation(self._state)
         self._staging = Staging(self._state)
         self._probing = Probing(self._state, heard)
-        self._listing = Listing()
+        self._listing = DepartureTracker()
         self._last_models = LastModels()
         self._began_s = 0.0
         self._grown_s = NEVER_S
@@ -111,7 +111,7 @@
         self._state.loads_seen = self._asked_again = False
         self.groups.clear()
         self.engines.clear()
-        self._listing = Listing()
+        self._listing = DepartureTracker()
         self._formation.plans.clear()
 
     def configure(self, configuration: Configuration) -> None:
@@ -149,7 +149,7 @@
         may come back.
         """
         engines = {each.instance: each for each in targets if each.engine is not None}
-        gone = self._listing.read(engines, now_s, regained_s)
+        gone = self._listing.record_reading(engines, now_s, regained_s)
         self._changed = True
         if engines.keys() - self.engines.keys():
             self._grown_s = now_s
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleetsharing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleetsharing.py
@@ -74,15 +74,15 @@
         known = len(self._view.targets())
         if len(targets) != known:
             self._log.event("listed", targets=len(targets), before=known)
-        self._apply_list(targets, reading.asked_s, now_s)
+        self._apply_list(targets, reading.polled_s, now_s)
         self.update_fleet()
         self.publish()
         self._share_list(targets)
 
-    def _apply_list(self, targets: tuple[ListedTarget, ...], asked_s: float, now_s: float) -> None:
+    def _apply_list(self, targets: tuple[ListedTarget, ...], polled_s: float, now_s: float) -> None:
         self._cold.listed(targets, now_s)
         self._coordination.listed(targets, now_s, self._health.regained_s)
-        self._view.apply_list(targets, asked_s, now_s, self._health.regained_s)
+        self._view.apply_list(targets, polled_s, now_s, self._health.regained_s)
 
     def _share_list(self, targets: tuple[ListedTarget, ...]) -> None:
         """Send the list to the next entries in line, or to a holder that may not have it."""
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleetview.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleetview.py
@@ -10,7 +10,7 @@
 from ochreway_direct.fleets.groupview import GroupView
 from ochreway_direct.lastmodels import LastModels
 from ochreway_direct.lists.listedtarget import ListedTarget
-from ochreway_direct.lists.listing import LAPSE_RETURN_S, Listing
+from ochreway_direct.lists.listing import LAPSE_RETURN_S, DepartureTracker
 from ochreway_direct.messages import FleetChange, FleetMark, FleetUpdate
 
 NEVER_S = -1.0e9
@@ -29,7 +29,7 @@
         self._targets: dict[InstanceId, ListedTarget] = {}
         self._listed_s = NEVER_S
         self._leaving: frozenset[InstanceId] = frozenset()
-        self._listing = Listing()
+        self._departures = DepartureTracker()
         self.last_models = LastModels()
 
     @property
@@ -138,7 +138,7 @@
         return True
 
     def apply_list(
-        self, targets: tuple[ListedTarget, ...], asked_s: float, now_s: float, regained_s: float
+        self, targets: tuple[ListedTarget, ...], polled_s: float, now_s: float, regained_s: float
     ) -> None:
         """Apply the platform's list as read by this entry.
 
@@ -147,14 +147,14 @@
         """
         listed_targets = {each.instance: each for each in targets}
         announced = {each.instance for each in targets if each.leaving}
-        departed = self._listing.read(listed_targets, now_s, regained_s, announced)
+        departed = self._departures.record_reading(listed_targets, now_s, regained_s, announced)
         if now_s - regained_s < LAPSE_RETURN_S:
             self._targets |= listed_targets
         else:
             self._targets = listed_targets
         self.last_models.note(self._targets.values())
         self._leaving = frozenset(departed | announced)
-        self._listed_s = max(self._listed_s, asked_s)
+        self._listed_s = max(self._listed_s, polled_s)
 
     def merge_engines(self, targets: tuple[ListedTarget, ...]) -> None:
         """Apply another entry's list of engines, which is needed if this one becomes the holder."""
--- a/packages/ochreway-direct/src/ochreway_direct/lists/listfollower.py
+++ b/packages/ochreway-direct/src/ochreway_direct/lists/listfollower.py
@@ -28,8 +28,8 @@
         health: PlatformHealth,
         timing: DirectTiming,
         backoff: Backoff,
-        wanted: Callable[[], bool],
-        taken: Callable[[TargetReading], None],
+        should_read: Callable[[], bool],
+        on_reading: Callable[[TargetReading], None],
         log: EventLog,
         metrics: Metrics,
     ) -> None:
@@ -37,51 +37,51 @@
         self._health = health
         self._timing = timing
         self._backoff = backoff
-        self._wanted = wanted
-        self._taken = taken
+        self._should_read = should_read
+        self._on_reading = on_reading
         self._metrics = metrics
-        self._fault = Repeats(log, "list_unavailable")
-        self._target_fault = Repeats(log, "target_unreadable")
+        self._unavailable = Repeats(log, "list_unavailable")
+        self._unreadable_target = Repeats(log, "target_unreadable")
         self._loop = asyncio.get_running_loop()
 
     async def run(self) -> None:
         """Read the list again and again until cancelled."""
         while True:
             pause_s = self._timing.list_gap_s
-            if self._wanted():
+            if self._should_read():
                 pause_s = await self._read()
             await asyncio.sleep(pause_s)
 
     async def _read(self) -> float:
         """Read once; return how long to wait before the next time."""
-        asked_s = self._loop.time()
+        polled_s = self._loop.time()
         self._metrics.count("list.asked")
         try:
             reading = await self._source.poll(self._timing.list_wait_s)
-        except PlatformError as fault:
-            self._failed(fault, asked_s)
+        except PlatformError as error:
+            self._on_error(error, polled_s)
             return self._backoff.failed()
         self._backoff.succeeded()
-        self._health.answered(asked_s, self._loop.time())
-        self._fault.over(self._loop.time())
-        self._note_unreadable(reading.unreadable)
-        self._taken(reading)
+        self._health.answered(polled_s, self._loop.time())
+        self._unavailable.over(self._loop.time())
+        self._record_unreadable(reading.unreadable)
+        self._on_reading(reading)
         return self._timing.list_gap_s
 
-    def _failed(self, fault: PlatformError, asked_s: float) -> None:
+    def _on_error(self, error: PlatformError, polled_s: float) -> None:
         now_s = self._loop.time()
         self._metrics.count("list.unavailable")
-        self._fault.met(str(fault), now_s)
-        self._health.failed(min(now_s, asked_s + self._timing.list_wait_s))
+        self._unavailable.met(str(error), now_s)
+        self._health.failed(min(now_s, polled_s + self._timing.list_wait_s))
 
-    def _note_unreadable(self, unreadable: Mapping[str, str]) -> None:
+    def _record_unreadable(self, unreadable: Mapping[str, str]) -> None:
         now_s = self._loop.time()
         if not unreadable:
-            self._target_fault.over(now_s)
+            self._unreadable_target.over(now_s)
             return
         self._metrics.count("list.target_unreadable")
         instance, cause = min(unreadable.items())
-        self._target_fault.met(f"{instance}: {cause}", now_s, targets=len(unreadable))
+        self._unreadable_target.met(f"{instance}: {cause}", now_s, targets=len(unreadable))
 
 
 __all__ = ["ListFollower"]
--- a/packages/ochreway-direct/src/ochreway_direct/main.py
+++ b/packages/ochreway-direct/src/ochreway_direct/main.py
@@ -26,7 +26,7 @@
 from ochreway_direct.relay.tuning import RelayTuning
 from ochreway_direct.settings import DirectSettings, check
 from ochreway_direct.timing import DirectTiming
-from ochreway_direct.versions.firstconfiguration import first_configuration
+from ochreway_direct.versions.firstconfiguration import wait_for_first_configuration
 from ochreway_runtime import steadyloop
 from ochreway_runtime.checks import shown
 from ochreway_runtime.errors import SettingsInvalid
@@ -133,7 +133,7 @@
         )
         try:
             await entry.start()
-            await first_configuration(entry.serving)
+            await wait_for_first_configuration(entry.serving)
             callers = await _serve_callers(settings, entry, relay)
             ready = await _serve_ready(settings, entry)
             connections = TargetConnections((to_targets, to_one), metrics, relay)
--- a/packages/ochreway-direct/src/ochreway_direct/ports/configurationsource.py
+++ b/packages/ochreway-direct/src/ochreway_direct/ports/configurationsource.py
@@ -18,8 +18,8 @@
     """
 
     configuration: Configuration | None
-    asked_s: float
-    decoded_in_s: float = 0.0
+    polled_s: float
+    decode_time_s: float = 0.0
     drained: DrainedHalls = UNREAD_HALLS
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/ports/targetlist.py
+++ b/packages/ochreway-direct/src/ochreway_direct/ports/targetlist.py
@@ -17,7 +17,7 @@
     """
 
     targets: tuple[ListedTarget, ...]
-    asked_s: float
+    polled_s: float
     unreadable: Mapping[str, str] = field(default_factory=dict)
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/relay/admission.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/admission.py
@@ -93,7 +93,7 @@
 
     def _identify(self, call: Call, routes: RouteTable) -> Organisation | None:
         """Name the organisation that calls; its keys are trusted only while they are fresh."""
-        if call.route.public or not routes.asks_for_keys:
+        if call.route.public or not routes.requires_keys:
             return None
         if not self._serving.keys_trusted():
             raise Refused(NOT_RUN_STATUS, Reason.STALE_VERSION, self._tuning.stale_after_s)
--- a/packages/ochreway-direct/src/ochreway_direct/versions/configurationfollower.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/configurationfollower.py
@@ -20,7 +20,7 @@
 from ochreway_runtime.metrics import Metrics
 from ochreway_runtime.repeats import Repeats
 
-CAUSES: dict[type[PlatformError], str] = {
+ERROR_COUNTERS: dict[type[PlatformError], str] = {
     ConfigurationUnreadable: "configuration.unreadable",
     ConfigurationUnavailable: "configuration.unavailable",
 }
@@ -36,9 +36,9 @@
         health: PlatformHealth,
         timing: DirectTiming,
         backoff: Backoff,
-        question_s: Callable[[], float | None],
-        applied: Callable[[Configuration], None],
-        drained: Callable[[DrainedHalls, float], None],
+        poll_wait_s: Callable[[], float | None],
+        on_applied: Callable[[Configuration], None],
+        on_drained_halls: Callable[[DrainedHalls, float], None],
         log: EventLog,
         metrics: Metrics,
     ) -> None:
@@ -53,28 +53,28 @@
         self._health = health
         self._timing = timing
         self._backoff = backoff
-        self._question_s = question_s
-        self._applied = applied
-        self._drained = drained
+        self._poll_wait_s = poll_wait_s
+        self._on_applied = on_applied
+        self._on_drained_halls = on_drained_halls
         self._log = log
         self._metrics = metrics
-        self._fault = Repeats(log, "configuration_unavailable")
+        self._unavailable = Repeats(log, "configuration_unavailable")
         self._loop = asyncio.get_running_loop()
 
     async def run(self) -> None:
         """Ask for a newer version again and again until cancelled."""
         while True:
-            wait_s = self._question_s()
+            wait_s = self._poll_wait_s()
             pause_s = self._timing.configuration_follow_gap_s
             if wait_s is not None:
-                pause_s = await self._ask(wait_s)
+                pause_s = await self._poll(wait_s)
             await asyncio.sleep(pause_s)
 
     def apply(self, configuration: Configuration) -> None:
         """Put a version in force if it is newer than what is."""
         if not self._serving.apply(configuration):
             return
-        self._applied(configuration)
+        self._on_applied(configuration)
         self._log.event(
             "configuration_applied",
             version=configuration.version,
@@ -82,40 +82,42 @@
             organisations=len(configuration.organisations),
         )
 
-    async def _ask(self, wait_s: float) -> float:
+    async def _poll(self, wait_s: float) -> float:
         """Ask once; return how long to wait before the next time."""
-        asked_s = self._loop.time()
+        polled_s = self._loop.time()
         self._metrics.count("configuration.asked" if wait_s else "configuration.asked_late")
         try:
             reading = await self._source.poll(wait_s)
-        except ConfigurationUnreadable as fault:
-            self._drained(fault.drained, asked_s)
-            return self._failed(fault, asked_s + wait_s)
-        except PlatformError as fault:
-            return self._failed(fault, asked_s + wait_s)
+        except ConfigurationUnreadable as error:
+            self._on_drained_halls(error.drained, polled_s)
+            return self._on_error(error, polled_s + wait_s)
+        except PlatformError as error:
+            return self._on_error(error, polled_s + wait_s)
         self._backoff.succeeded()
-        self._health.answered(asked_s, self._loop.time())
-        self._fault.over(self._loop.time(), in_force=self._serving.version)
-        return self._take(reading)
+        self._health.answered(polled_s, self._loop.time())
+        self._unavailable.over(self._loop.time(), in_force=self._serving.version)
+        return self._apply_reading(reading)
 
-    def _failed(self, fault: PlatformError, due_s: float) -> float:
+    def _on_error(self, error: PlatformError, due_s: float) -> float:
         """Count and tell why there is no reading; return how long to wait."""
         now_s = self._loop.time()
-        self._metrics.count(CAUSES.get(type(fault), CAUSES[ConfigurationUnavailable]))
-        self._fault.met(str(fault), now_s, in_force=self._serving.version)
-        if not isinstance(fault, ConfigurationUnreadable):
+        self._metrics.count(
+            ERROR_COUNTERS.get(type(error), ERROR_COUNTERS[ConfigurationUnavailable])
+        )
+        self._unavailable.met(str(error), now_s, in_force=self._serving.version)
+        if not isinstance(error, ConfigurationUnreadable):
             self._health.failed(min(now_s, due_s))
         return self._backoff.failed()
 
-    def _take(self, reading: ConfigurationReading) -> float:
-        self._drained(reading.drained, reading.asked_s)
+    def _apply_reading(self, reading: ConfigurationReading) -> float:
+        self._on_drained_halls(reading.drained, reading.polled_s)
         if reading.configuration is None:
             return self._timing.configuration_gap_s
         begun_s = self._loop.time()
         self.apply(reading.configuration)
         if reading.configuration.version == self._serving.version:
-            self._serving.freshness.prove(reading.asked_s)
-        took_s = self._loop.time() - begun_s + reading.decoded_in_s
+            self._serving.freshness.prove(reading.polled_s)
+        took_s = self._loop.time() - begun_s + reading.decode_time_s
         paced_s = self._timing.configuration_rest_share * took_s
         return min(
             self._timing.configuration_rest_s, max(self._timing.configuration_gap_s, paced_s)
--- a/packages/ochreway-direct/src/ochreway_direct/versions/firstconfiguration.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/firstconfiguration.py
@@ -5,23 +5,23 @@
 
 from ochreway_direct.serving import Serving
 
-WAIT_AT_MOST_S = 0.4
+MAX_WAIT_S = 0.4
 """How long the callers of a new process wait at most for its first configuration.
 
 Taken before it, they would be held to bounds that are not the operators', or be refused with no
 try left where all entries were killed at once.
 """
-POLL_S = 0.005
+POLL_INTERVAL_S = 0.005
 """How often to check whether a configuration is in force."""
 
 
-async def first_configuration(serving: Serving, within_s: float = WAIT_AT_MOST_S) -> bool:
+async def wait_for_first_configuration(serving: Serving, timeout_s: float = MAX_WAIT_S) -> bool:
     """Wait until a configuration is in force; return whether one is in time."""
     loop = asyncio.get_running_loop()
-    end_s = loop.time() + within_s
+    end_s = loop.time() + timeout_s
     while serving.routes is None and loop.time() < end_s:
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return serving.routes is not None
 
 
-__all__ = ["WAIT_AT_MOST_S", "first_configuration"]
+__all__ = ["MAX_WAIT_S", "wait_for_first_configuration"]
--- a/packages/ochreway-direct/src/ochreway_direct/versions/freshness.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/freshness.py
@@ -15,30 +15,30 @@
     LAST_KNOWN = "last_known"
 
 
-Trusts = Callable[[float, float], bool]
+TrustCheck = Callable[[float, float], bool]
 """Tell from the age of the newest proof and its bound, in seconds, whether keys are trusted."""
 
-KEY_TRUSTS: dict[KeyTrust, Trusts] = {}
+KEY_TRUST_CHECKS: dict[KeyTrust, TrustCheck] = {}
 
 
-def key_trust(name: KeyTrust) -> Callable[[Trusts], Trusts]:
+def register_key_trust(name: KeyTrust) -> Callable[[TrustCheck], TrustCheck]:
     """Register a way to trust keys."""
 
-    def register(trusts: Trusts) -> Trusts:
-        KEY_TRUSTS[name] = trusts
+    def register(trusts: TrustCheck) -> TrustCheck:
+        KEY_TRUST_CHECKS[name] = trusts
         return trusts
 
     return register
 
 
-@key_trust(KeyTrust.WHILE_PROVED)
-def _while_proved(age_s: float, bound_s: float) -> bool:
+@register_key_trust(KeyTrust.WHILE_PROVED)
+def _while_proved(age_s: float, max_age_s: float) -> bool:
     """Refuse all keys rather than let one in that may have been taken away."""
-    return age_s < bound_s
+    return age_s < max_age_s
 
 
-@key_trust(KeyTrust.LAST_KNOWN)
-def _last_known(age_s: float, bound_s: float) -> bool:
+@register_key_trust(KeyTrust.LAST_KNOWN)
+def _last_known(age_s: float, max_age_s: float) -> bool:
     """Serve by the last configuration that was learned, however old it is."""
     return True
 
@@ -51,13 +51,13 @@
     the configuration look older than it is.
     """
 
-    bound_s: float
+    max_age_s: float
     trust: KeyTrust = KeyTrust.WHILE_PROVED
     proved_s: float = NEVER_S
 
-    def prove(self, asked_s: float) -> None:
+    def prove(self, polled_s: float) -> None:
         """Note that what was asked for at a time found nothing newer than what is in force."""
-        self.proved_s = max(self.proved_s, asked_s)
+        self.proved_s = max(self.proved_s, polled_s)
 
     def age_s(self, now_s: float) -> float:
         """Return the age of the newest proof."""
@@ -65,11 +65,11 @@
 
     def proved(self, now_s: float) -> bool:
         """Tell whether the configuration is known to have been the newest lately."""
-        return self.age_s(now_s) < self.bound_s
+        return self.age_s(now_s) < self.max_age_s
 
     def keys_trusted(self, now_s: float) -> bool:
         """Tell whether known keys may be let in."""
-        return KEY_TRUSTS[self.trust](self.age_s(now_s), self.bound_s)
+        return KEY_TRUST_CHECKS[self.trust](self.age_s(now_s), self.max_age_s)
 
 
-__all__ = ["KEY_TRUSTS", "Freshness", "KeyTrust", "key_trust"]
+__all__ = ["KEY_TRUST_CHECKS", "Freshness", "KeyTrust", "register_key_trust"]
--- a/packages/ochreway-direct/src/ochreway_direct/versions/routetable.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/routetable.py
@@ -22,9 +22,9 @@
             for organisation in configuration.organisations
             for key in organisation.keys
         }
-        bound = [each.homes for each in configuration.routes]
-        bound += [each.homes for each in configuration.organisations]
-        self.homes: frozenset[RegionId] = frozenset().union(*bound)
+        home_lists = [each.homes for each in configuration.routes]
+        home_lists += [each.homes for each in configuration.organisations]
+        self.homes: frozenset[RegionId] = frozenset().union(*home_lists)
 
     @property
     def version(self) -> Version:
@@ -32,7 +32,7 @@
         return self.configuration.version
 
     @property
-    def asks_for_keys(self) -> bool:
+    def requires_keys(self) -> bool:
         """Tell whether callers have to present a key."""
         return bool(self.configuration.organisations)
 
@@ -43,9 +43,9 @@
             return None
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            found = prefixes.get(path[: end + 1])
-            if found is not None:
-                return found
+            matching_route = prefixes.get(path[: end + 1])
+            if matching_route is not None:
+                return matching_route
         return None
 
     def organisation(self, key: str) -> Organisation | None:
--- a/packages/ochreway-direct/src/ochreway_direct/versions/versionsharing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/versionsharing.py
@@ -12,7 +12,7 @@
 from ochreway_direct.timing import DirectTiming
 from ochreway_wire.links import Links
 
-ROUTES_HANDED_ON = 300
+MAX_FORWARDED_ROUTES = 300
 """Up to how many routes a configuration is handed on whole, which decodes in one go: some 7 ms.
 
 A larger one is read from the store by each, where it is decoded in slices.
@@ -37,14 +37,16 @@
         self._timing = timing
         self._loop = asyncio.get_running_loop()
 
-    def question_s(self) -> float | None:
+    def poll_wait_s(self) -> float | None:
         """Return for how long a question to the store may stay open, None for not asking at all."""
         timing = self._timing
         if self._serving.routes is None:
             return timing.configuration_wait_s
         # As after a pause: what stays open for a while would prove the version too late.
-        late = self._serving.freshness.age_s(self._loop.time()) > timing.configuration_follow_s
-        if late:
+        proof_is_old = (
+            self._serving.freshness.age_s(self._loop.time()) > timing.configuration_follow_s
+        )
+        if proof_is_old:
             return 0.0
         if self._heartbeats.meshed:
             return timing.configuration_wait_s
@@ -53,12 +55,12 @@
         behind = self._heartbeats.newest_version > self._serving.version
         return 0.0 if behind else None
 
-    def applied(self, configuration: Configuration) -> None:
+    def on_applied(self, configuration: Configuration) -> None:
         """Have groups formed by a new version, and tell those who do not read it themselves."""
         self._coordinator.configure(configuration)
         if self._heartbeats.meshed or not self._heartbeats.head:
             return
-        if len(configuration.routes) <= ROUTES_HANDED_ON:
+        if len(configuration.routes) <= MAX_FORWARDED_ROUTES:
             members = self._heartbeats.members()
             self._links.send_all(members, ConfigurationUpdate(configuration))
         self._heartbeats.send(self._loop.time())
--- a/tests/direct/test_configurationfollower.py
+++ b/tests/direct/test_configurationfollower.py
@@ -47,17 +47,17 @@
 
 
 class FollowerTests(testtools.TestCase):
-    def learned(self, *steps: Step) -> list[DrainedHalls]:
+    def reported_halls(self, *steps: Step) -> list[DrainedHalls]:
         """Return the words of readings in order; the version in force stands at each of them."""
-        words: list[DrainedHalls] = []
+        reports: list[DrainedHalls] = []
         self.versions: list[int] = []
 
         async def run() -> None:
             serving = Serving(Fleet(HALL, random.Random(1)), Freshness(4.5))
 
-            def drained(word: DrainedHalls, asked_s: float) -> None:
-                self.assertLessEqual(asked_s, asyncio.get_running_loop().time())
-                words.append(word)
+            def on_drained_halls(halls: DrainedHalls, polled_s: float) -> None:
+                self.assertLessEqual(polled_s, asyncio.get_running_loop().time())
+                reports.append(halls)
                 self.versions.append(serving.version)
 
             follower = ConfigurationFollower(
@@ -65,37 +65,37 @@
                 Backoff(0.1, 1.0, random.Random(1)),
                 lambda: 1.0,
                 lambda _: None,
-                drained,
+                on_drained_halls,
                 RecordedLog(),
                 Metrics(None, "entry"),
             )
             for _ in steps:
-                await follower._ask(1.0)
+                await follower._poll(1.0)
 
         asyncio.run(run())
-        return words
+        return reports
 
     def test_halls_are_learned_before_the_configuration_is_in_force(self) -> None:
         reading = ConfigurationReading(Configuration(Version(3)), 1.0, drained=DRAINED)
-        self.assertEqual([DRAINED], self.learned(reading))
+        self.assertEqual([DRAINED], self.reported_halls(reading))
         self.assertEqual([0], self.versions)
 
-    def test_a_reading_without_a_new_configuration_tells_of_halls_too(self) -> None:
+    def test_a_reading_without_a_new_configuration_reports_halls_too(self) -> None:
         known = Configuration(Version(3))
         first = ConfigurationReading(known, 1.0, drained=DrainedHalls(5))
         again = ConfigurationReading(known, 2.0, drained=DRAINED)
         none = ConfigurationReading(None, 3.0, drained=DrainedHalls(7))
         expected = [DrainedHalls(5), DRAINED, DrainedHalls(7)]
-        self.assertEqual(expected, self.learned(first, again, none))
+        self.assertEqual(expected, self.reported_halls(first, again, none))
 
     def test_a_configuration_that_cannot_be_read_hides_no_drain(self) -> None:
-        self.assertEqual([DRAINED], self.learned(ConfigurationUnreadable("broken", DRAINED)))
+        self.assertEqual([DRAINED], self.reported_halls(ConfigurationUnreadable("broken", DRAINED)))
 
-    def test_an_outage_tells_nothing_of_halls(self) -> None:
-        self.assertEqual([], self.learned(ConfigurationUnavailable("away")))
+    def test_an_outage_reports_no_halls(self) -> None:
+        self.assertEqual([], self.reported_halls(ConfigurationUnavailable("away")))
 
 
-class HandedOverTests(testtools.TestCase):
+class ForwardedVersionTests(testtools.TestCase):
     def test_a_version_of_another_entry_waits_until_it_is_known_which_halls_are_drained(
         self,
     ) -> None:
--- a/tests/direct/test_relay.py
+++ b/tests/direct/test_relay.py
@@ -371,12 +371,12 @@
             writer.close()
 
         async def work(running: Running) -> None:
-            running.serving.freshness.bound_s = 60.0
+            running.serving.freshness.max_age_s = 60.0
             asking = asyncio.ensure_future(running.ask())
             while not running.targets[0].seen:
                 await asyncio.sleep(0.01)
             # Keys grow too old while the stream runs, so it may not be sent again.
-            running.serving.freshness.bound_s = -1.0
+            running.serving.freshness.max_age_s = -1.0
             answer = await asking
             self.assertTrue(answer.broken)
             self.assertEqual(b"id: 1\ndata: e1\n\n", answer.body)
--- a/tests/direct/test_sharing.py
+++ b/tests/direct/test_sharing.py
@@ -92,7 +92,7 @@
         def work(world: SpreadWorld) -> None:
             for entry in world.entries.values():
                 entry.serving.freshness.prove(world.now_s)
-            asking = [self.versions(e).question_s() for e in world.entries.values()]
+            asking = [self.versions(e).poll_wait_s() for e in world.entries.values()]
             many = len(world.entries) > 24
             self.assertEqual(2 if many else len(asking), sum(each is not None for each in asking))
 
@@ -105,7 +105,7 @@
         def work(world: SpreadWorld) -> None:
             for entry in world.entries.values():
                 entry.serving.freshness.prove(world.now_s)
-                self.assertEqual(TIMING.configuration_wait_s, self.versions(entry).question_s())
+                self.assertEqual(TIMING.configuration_wait_s, self.versions(entry).poll_wait_s())
 
         for entries in (5, 16):
             self.run_world(entries, work)
@@ -117,19 +117,19 @@
             entry = next(e for e in world.entries.values() if not e.heartbeats.head)
             entry.serving.freshness.prove(world.now_s)
             versions = self.versions(entry)
-            self.assertIsNone(versions.question_s())
+            self.assertIsNone(versions.poll_wait_s())
             entry.heartbeats.newest_version = Version(9)
-            self.assertEqual(0.0, versions.question_s())
+            self.assertEqual(0.0, versions.poll_wait_s())
             entry.heartbeats.newest_version = entry.serving.version
             world._loop.now_s += TIMING.configuration_follow_s + 0.1
-            self.assertEqual(0.0, versions.question_s())
+            self.assertEqual(0.0, versions.poll_wait_s())
 
         self.run_world(36, work)
 
     def test_a_head_forwards_a_version_to_its_members(self) -> None:
         def work(world: SpreadWorld) -> None:
             head = self.head_with_members(world)
-            self.versions(head).applied(Configuration(Version(9)))
+            self.versions(head).on_applied(Configuration(Version(9)))
             told = {peer for peer, each in self.links.sent if isinstance(each, ConfigurationUpdate)}
             self.assertEqual(set(head.heartbeats.members()), told)
 
