--- a/packages/ochreway-direct/src/ochreway_direct/lists/__init__.py
+++ b/packages/ochreway-direct/src/ochreway_direct/lists/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's list of targets, as it is read and followed."""
+"""Reading and tracking of the platform's list of targets."""
--- a/packages/ochreway-direct/src/ochreway_direct/lists/listedtarget.py
+++ b/packages/ochreway-direct/src/ochreway_direct/lists/listedtarget.py
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedTarget:
-    """Hold where a target is, whether it is leaving, and its engine's state if it has one.
+    """Hold a target's address and hall, whether it is leaving, and the state of its engine, if any.
 
-    ``cold_s`` is for how much longer it said, when it wrote its entry, that it stays cold.
-    ``born_ms`` is the time of day of its start, which names its life, where it says so.
+    ``cold_s`` is how much longer the target stays cold, as of when it wrote its list entry.
+    ``born_ms`` is the wall-clock time of its start, which identifies its incarnation, if given.
     """
 
     instance: InstanceId
--- a/packages/ochreway-direct/src/ochreway_direct/lists/listfollower.py
+++ b/packages/ochreway-direct/src/ochreway_direct/lists/listfollower.py
@@ -15,11 +15,11 @@
 
 
 class ListFollower:
-    """Read the list while this entry has to, and tell of what cannot be read.
+    """Poll the list while this entry has to read it, and log what cannot be read.
 
     Args:
-        wanted: tells whether this entry reads the list itself now.
-        taken: is given each good reading.
+        should_read: returns whether this entry reads the list itself now.
+        on_reading: called with each successful reading.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def run(self) -> None:
-        """Read the list again and again until cancelled."""
+        """Poll the list until cancelled."""
         while True:
             pause_s = self._timing.list_gap_s
             if self._should_read():
@@ -53,7 +53,7 @@
             await asyncio.sleep(pause_s)
 
     async def _read(self) -> float:
-        """Read once; return how long to wait before the next time."""
+        """Poll once; return how long to wait before the next poll."""
         polled_s = self._loop.time()
         self._metrics.count("list.asked")
         try:
--- a/packages/ochreway-direct/src/ochreway_direct/lists/listing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/lists/listing.py
@@ -1,22 +1,22 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which targets have left the platform's list."""
+"""Detection of targets that have left the platform's list."""
 
 from collections.abc import Collection, Iterable
 
 from ochreway_core.ids import InstanceId
 
 LAPSE_RETURN_S = 2.2
-"""How soon after an outage lapsed entries are listed again: about 2 s, as the users state."""
+"""Time after an outage within which lapsed targets are listed again: about 2 s, as users state."""
 DEPARTED_RETENTION_S = 60.0
-"""For how long a target that left is remembered; requests end well within it."""
+"""How long a departed target is remembered; its requests end well within that time."""
 
 
 class DepartureTracker:
-    """Tell a leave from an entry that lapsed while the list was away.
+    """Distinguish targets that left from those that lapsed during an outage of the list.
 
-    The list drops entries that could not be renewed during an outage and gets them back soon
-    after it. Apart from that time an absence counts at once, as targets that leave without
-    announcing it have to get nothing new within seconds.
+    The list drops targets that could not renew their entry during an outage, and regains them
+    soon after it. At any other time an absence counts as a departure at once, because targets
+    that leave without an announcement must get no new requests within seconds.
     """
 
     def __init__(self) -> None:
@@ -31,14 +31,14 @@
         regained_s: float,
         announced: Collection[InstanceId] = (),
     ) -> set[InstanceId]:
-        """Take a good reading; return the targets that are gone from the list.
+        """Record a successful reading; return the targets that have left the list.
 
         Args:
-            listed: the targets that the reading shows.
-            now_s: the time.
+            listed: the targets in the reading.
+            now_s: the current time.
             regained_s: when the last outage of the store ended.
-            announced: those of them that have announced that they leave; their absence is a leave
-                at any time.
+            announced: the listed targets that announced that they leave; their absence counts as
+                a departure at any time.
         """
         present = set(listed)
         self._announced |= set(announced)
--- a/packages/ochreway-direct/src/ochreway_direct/versions/__init__.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The configuration in force: read, proved to be the newest, shared."""
+"""The configuration in force: polling the store, proofs of freshness, forwarding to others."""
--- a/packages/ochreway-direct/src/ochreway_direct/versions/configurationfollower.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/configurationfollower.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The task that follows the accepted configuration."""
+"""The task that polls the store for the accepted configuration."""
 
 import asyncio
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 
 
 class ConfigurationFollower:
-    """Put newer versions in force, wherever they come from, and note proofs of freshness."""
+    """Put newer versions in force, from the store or from peers, and record freshness proofs."""
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
         log: EventLog,
         metrics: Metrics,
     ) -> None:
-        """Start with the parts given.
+        """Start without a configuration.
 
-        ``question_s`` tells for how long a question to the store may stay open now, or None when
-        this entry hears of versions from others; ``applied`` is told of each new one, and
-        ``drained`` of the halls that each reading shows, with when it was asked for.
+        ``poll_wait_s`` returns how long a poll of the store may stay open now, or None when this
+        entry gets versions from others. ``on_applied`` is called with each new version, and
+        ``on_drained_halls`` with the halls of each reading and the time of its poll.
         """
         self._source = source
         self._serving = serving
@@ -62,7 +62,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def run(self) -> None:
-        """Ask for a newer version again and again until cancelled."""
+        """Poll for newer versions until cancelled."""
         while True:
             wait_s = self._poll_wait_s()
             pause_s = self._timing.configuration_follow_gap_s
@@ -71,7 +71,7 @@
             await asyncio.sleep(pause_s)
 
     def apply(self, configuration: Configuration) -> None:
-        """Put a version in force if it is newer than what is."""
+        """Put a version in force if it is newer than the current one."""
         if not self._serving.apply(configuration):
             return
         self._on_applied(configuration)
@@ -83,7 +83,7 @@
         )
 
     async def _poll(self, wait_s: float) -> float:
-        """Ask once; return how long to wait before the next time."""
+        """Poll once; return how long to wait before the next poll."""
         polled_s = self._loop.time()
         self._metrics.count("configuration.asked" if wait_s else "configuration.asked_late")
         try:
@@ -99,7 +99,7 @@
         return self._apply_reading(reading)
 
     def _on_error(self, error: PlatformError, due_s: float) -> float:
-        """Count and tell why there is no reading; return how long to wait."""
+        """Count and log a failed poll; return how long to wait before the next one."""
         now_s = self._loop.time()
         self._metrics.count(
             ERROR_COUNTERS.get(type(error), ERROR_COUNTERS[ConfigurationUnavailable])
--- a/packages/ochreway-direct/src/ochreway_direct/versions/freshness.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/freshness.py
@@ -9,20 +9,20 @@
 
 
 class KeyTrust(Enum):
-    """Say what becomes of keys while nothing proves that they are still the newest."""
+    """Define how keys are treated without a recent proof that the configuration is the newest."""
 
     WHILE_PROVED = "while_proved"
     LAST_KNOWN = "last_known"
 
 
 TrustCheck = Callable[[float, float], bool]
-"""Tell from the age of the newest proof and its bound, in seconds, whether keys are trusted."""
+"""Return whether keys are trusted, from the age of the newest proof and its maximum, in seconds."""
 
 KEY_TRUST_CHECKS: dict[KeyTrust, TrustCheck] = {}
 
 
 def register_key_trust(name: KeyTrust) -> Callable[[TrustCheck], TrustCheck]:
-    """Register a way to trust keys."""
+    """Register the check for a kind of key trust."""
 
     def register(trusts: TrustCheck) -> TrustCheck:
         KEY_TRUST_CHECKS[name] = trusts
@@ -33,21 +33,21 @@
 
 @register_key_trust(KeyTrust.WHILE_PROVED)
 def _while_proved(age_s: float, max_age_s: float) -> bool:
-    """Refuse all keys rather than let one in that may have been taken away."""
+    """Refuse all keys after the maximum age, as any may have been revoked."""
     return age_s < max_age_s
 
 
 @register_key_trust(KeyTrust.LAST_KNOWN)
 def _last_known(age_s: float, max_age_s: float) -> bool:
-    """Serve by the last configuration that was learned, however old it is."""
+    """Accept the keys of the last known configuration, however old it is."""
     return True
 
 
 @dataclass(slots=True)
 class Freshness:
-    """Hold the steady time at which the newest proof of freshness was asked for.
+    """Hold the steady time of the poll that last proved the configuration to be the newest.
 
-    The time of asking counts, not that of the answer, so a slow or paused process only makes
+    The time of the poll counts, not that of its answer, so a slow or paused process only makes
     the configuration look older than it is.
     """
 
@@ -56,7 +56,7 @@
     proved_s: float = NEVER_S
 
     def prove(self, polled_s: float) -> None:
-        """Note that what was asked for at a time found nothing newer than what is in force."""
+        """Record that a poll sent at ``polled_s`` found nothing newer than the current version."""
         self.proved_s = max(self.proved_s, polled_s)
 
     def age_s(self, now_s: float) -> float:
@@ -64,11 +64,11 @@
         return now_s - self.proved_s
 
     def proved(self, now_s: float) -> bool:
-        """Tell whether the configuration is known to have been the newest lately."""
+        """Return whether the configuration was recently proved to be the newest."""
         return self.age_s(now_s) < self.max_age_s
 
     def keys_trusted(self, now_s: float) -> bool:
-        """Tell whether known keys may be let in."""
+        """Return whether known keys may be accepted."""
         return KEY_TRUST_CHECKS[self.trust](self.age_s(now_s), self.max_age_s)
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/versions/routetable.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/routetable.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Finding the route and the organisation of a request in an accepted configuration."""
+"""Lookup of the route and the organisation of a request in an accepted configuration."""
 
 from collections import defaultdict
 
@@ -9,7 +9,7 @@
 
 
 class RouteTable:
-    """Index one configuration by host and prefix, key and service."""
+    """Index a configuration by host and prefix, key and service."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
@@ -28,16 +28,16 @@
 
     @property
     def version(self) -> Version:
-        """Return the version that is indexed."""
+        """Return the version of the indexed configuration."""
         return self.configuration.version
 
     @property
     def requires_keys(self) -> bool:
-        """Tell whether callers have to present a key."""
+        """Return whether callers have to present a key."""
         return bool(self.configuration.organisations)
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix, which ends in a slash, that begins the path."""
+        """Return the route with the longest prefix of the path; prefixes end in a slash."""
         prefixes = self._routes.get(host.lower())
         if prefixes is None:
             return None
--- a/packages/ochreway-direct/src/ochreway_direct/versions/versionsharing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/versionsharing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Who asks the store for a newer configuration, and who hears of it from others."""
+"""Division of entries into those that poll the store and those that get versions from peers."""
 
 import asyncio
 
@@ -13,14 +13,15 @@
 from ochreway_wire.links import Links
 
 MAX_FORWARDED_ROUTES = 300
-"""Up to how many routes a configuration is handed on whole, which decodes in one go: some 7 ms.
+"""Maximum number of routes of a configuration that is forwarded to peers.
 
-A larger one is read from the store by each, where it is decoded in slices.
+It is decoded in one go, which takes some 7 ms at this size. A larger configuration is read from
+the store by each entry, where it is decoded in slices.
 """
 
 
 class VersionSharing:
-    """Spare the store the questions of entries that hear of versions from others."""
+    """Decide whether this entry polls the store, and forward versions to those that do not."""
 
     def __init__(
         self,
@@ -38,11 +39,11 @@
         self._loop = asyncio.get_running_loop()
 
     def poll_wait_s(self) -> float | None:
-        """Return for how long a question to the store may stay open, None for not asking at all."""
+        """Return how long a poll of the store may stay open, or None for no poll."""
         timing = self._timing
         if self._serving.routes is None:
             return timing.configuration_wait_s
-        # As after a pause: what stays open for a while would prove the version too late.
+        # For example after a pause: a long poll would prove the version too late.
         proof_is_old = (
             self._serving.freshness.age_s(self._loop.time()) > timing.configuration_follow_s
         )
@@ -56,7 +57,7 @@
         return 0.0 if behind else None
 
     def on_applied(self, configuration: Configuration) -> None:
-        """Have groups formed by a new version, and tell those who do not read it themselves."""
+        """Configure the coordinator by a new version, and forward it to the members of the cell."""
         self._coordinator.configure(configuration)
         if self._heartbeats.meshed or not self._heartbeats.head:
             return
@@ -66,7 +67,7 @@
         self._heartbeats.send(self._loop.time())
 
     def on_request(self, sender: Peer, request: ConfigurationRequest) -> None:
-        """Hand the version in force to an entry whose own is older."""
+        """Send the version in force to an entry whose own is older."""
         routes = self._serving.routes
         if routes is not None and routes.version > request.than:
             self._links.send(sender, ConfigurationUpdate(routes.configuration))
--- a/tests/direct/test_configurationfollower.py
+++ b/tests/direct/test_configurationfollower.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Every reading tells which halls are drained, whatever becomes of its configuration."""
+"""Each reading reports the drained halls, whether or not its configuration is applied."""
 
 import asyncio
 import random
@@ -34,7 +34,7 @@
 
 
 class ScriptedSource(ConfigurationSource):
-    """Give one reading or error after another."""
+    """Return or raise the scripted readings and errors in order."""
 
     def __init__(self, *steps: Step) -> None:
         self._steps = list(steps)
@@ -48,7 +48,7 @@
 
 class FollowerTests(testtools.TestCase):
     def reported_halls(self, *steps: Step) -> list[DrainedHalls]:
-        """Return the words of readings in order; the version in force stands at each of them."""
+        """Return the reported halls in order; ``versions`` gets the version in force at each."""
         reports: list[DrainedHalls] = []
         self.versions: list[int] = []
 
