--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/domainrows.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/domainrows.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A domain's rows as a controller last read or wrote them."""
+"""The table rows of one domain, as a controller last read or wrote them."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class DomainRows:
-    """Hold the lease, groups and instances of a domain with their revisions."""
+    """The lease, group and instance rows of a domain, with their revisions."""
 
     domain: DomainId
     lease: LeaseRow | None = None
@@ -21,27 +21,27 @@
     revisions: dict[str, int] = field(default_factory=dict)
 
     @classmethod
-    def read(cls, domain: DomainId, rows: Mapping[str, Row]) -> "DomainRows":
-        """Decode what a read of the domain's prefixes gave."""
-        built = cls(domain)
+    def from_rows(cls, domain: DomainId, rows: Mapping[str, Row]) -> "DomainRows":
+        """Decode the rows returned for the domain's prefixes."""
+        result = cls(domain)
         lease = rows.get(lease_key(domain))
-        built.lease = decode(LeaseRow, lease.content) if lease else None
+        result.lease = decode(LeaseRow, lease.content) if lease else None
         for key, row in rows.items():
-            built.revisions[key] = row.revision
+            result.revisions[key] = row.revision
             if key.startswith(group_key(domain, "")):
                 group = decode(GroupRow, row.content)
-                built.groups[group.group] = group
+                result.groups[group.group] = group
             elif key.startswith(instance_key(domain, "")):
                 instance = decode(InstanceRow, row.content)
-                built.instances[instance.node] = instance
-        return built
+                result.instances[instance.node] = instance
+        return result
 
     def condition(self, key: str) -> Condition:
-        """Return the condition that a row has not changed since it was read."""
+        """Return the condition that a row is unchanged since it was read."""
         return Condition(key, self.revisions.get(key, ABSENT))
 
     def group_of(self, node: str) -> GroupId | None:
-        """Return the group that the instance belongs to."""
+        """Return the group that the instance belongs to, or None."""
         row = self.instances.get(NodeId(node))
         return row.group if row else None
 
--- a/packages/ochreway-routing/src/ochreway_routing/ejection.py
+++ b/packages/ochreway-routing/src/ochreway_routing/ejection.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Taking a failing replica out for a while."""
+"""Temporary ejection of failing replicas."""
 
 from dataclasses import dataclass
 
@@ -13,10 +13,12 @@
     until_s: float = -1.0e9
     returned_s: float = -1.0e9
 
-    def failed(self, now_s: float, failures_allowed: int, base_s: float, max_s: float) -> bool:
-        """Note a failure; return whether the replica is ejected by it."""
+    def record_failure(
+        self, now_s: float, failures_allowed: int, base_s: float, max_s: float
+    ) -> bool:
+        """Record a failure; return whether it ejects the replica."""
         self.failures += 1
-        if self.failures < failures_allowed or self.ejected(now_s):
+        if self.failures < failures_allowed or self.is_ejected(now_s):
             return False
         self.until_s = now_s + min(max_s, base_s * 2.0 ** min(self.ejections, 8))
         self.returned_s = self.until_s
@@ -25,13 +27,13 @@
         self.failures = failures_allowed - 1
         return True
 
-    def succeeded(self) -> None:
-        """Note a success."""
+    def record_success(self) -> None:
+        """Reset the failures and the length of the next ejection."""
         self.failures = 0
         self.ejections = 0
 
-    def ejected(self, now_s: float) -> bool:
-        """Tell whether the replica is out."""
+    def is_ejected(self, now_s: float) -> bool:
+        """Return whether the replica is ejected now."""
         return now_s < self.until_s
 
 
