--- a/packages/ochreway-direct/src/ochreway_direct/bounds/pressure.py
+++ b/packages/ochreway-direct/src/ochreway_direct/bounds/pressure.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 NEVER_S = -1.0e9
-HELD_AT_MOST_S = 10.0
+MAX_HOLD_S = 10.0
 """For how long an entry stays near after its use fell below the share at which that begins.
 
 Callers that stay connected keep a use from falling further; without an end an entry that has room
@@ -16,19 +16,19 @@
 class Pressure:
     """Hold whether use is near a bound: from one share, until below a smaller one or a timeout."""
 
-    begins_share: float
-    ends_share: float
+    enter_share: float
+    exit_share: float
     near: bool = False
-    reached_s: float = NEVER_S
+    last_reached_s: float = NEVER_S
 
     def update(self, share: float, now_s: float) -> bool:
         """Take the share that is used now; return whether ``near`` has changed."""
         before = self.near
-        if share >= self.begins_share:
-            self.reached_s = now_s
-        held = share >= self.ends_share and now_s - self.reached_s < HELD_AT_MOST_S
-        self.near = share >= self.begins_share or (before and held)
+        if share >= self.enter_share:
+            self.last_reached_s = now_s
+        held = share >= self.exit_share and now_s - self.last_reached_s < MAX_HOLD_S
+        self.near = share >= self.enter_share or (before and held)
         return self.near is not before
 
 
-__all__ = ["HELD_AT_MOST_S", "Pressure"]
+__all__ = ["MAX_HOLD_S", "Pressure"]
--- a/packages/ochreway-direct/src/ochreway_direct/bounds/means.py
+++ b/packages/ochreway-direct/src/ochreway_direct/bounds/resourcebounds.py
@@ -5,41 +5,41 @@
 
 from ochreway_direct.settings import DirectSettings
 
-FILE_DESCRIPTORS = 200
+RESERVED_DESCRIPTORS = 200
 """Descriptors that are left to files and to what libraries open."""
 CALLERS_SHARE = 0.4
 """The share of sockets for callers; each may need one to a target too, and links need the rest."""
-RESTING_SHARE = 0.1
+IDLE_SHARE = 0.1
 """The share of sockets for idle connections to targets: what is left beside busy ones and links."""
-LEAST_CALLERS = 16
+MIN_CONNECTIONS = 16
 """No bound is lower: an entry with hardly any descriptors still serves some callers."""
 BYTES_PER_MBPS = 125_000.0
 BYTES_PER_MB = 1e6
 
 
 @dataclass(frozen=True, slots=True)
-class Means:
+class ResourceBounds:
     """Hold the bounds of one entry; ``None``: not bounded."""
 
     callers: int | None = None
-    resting: int | None = None
+    idle: int | None = None
     memory_bytes: float | None = None
     link_bytes_per_s: float | None = None
 
 
-def means_of(settings: DirectSettings) -> Means:
+def bounds_of(settings: DirectSettings) -> ResourceBounds:
     """Return the bounds that the settings give."""
-    callers = resting = None
+    callers = idle = None
     if settings.descriptors:
-        sockets = settings.descriptors - FILE_DESCRIPTORS
-        callers = max(LEAST_CALLERS, int(CALLERS_SHARE * sockets))
-        resting = max(LEAST_CALLERS, int(RESTING_SHARE * sockets))
-    return Means(
+        sockets = settings.descriptors - RESERVED_DESCRIPTORS
+        callers = max(MIN_CONNECTIONS, int(CALLERS_SHARE * sockets))
+        idle = max(MIN_CONNECTIONS, int(IDLE_SHARE * sockets))
+    return ResourceBounds(
         callers=callers,
-        resting=resting,
+        idle=idle,
         memory_bytes=settings.memory_mb * BYTES_PER_MB or None,
         link_bytes_per_s=settings.link_mbps * BYTES_PER_MBPS or None,
     )
 
 
-__all__ = ["Means", "means_of"]
+__all__ = ["ResourceBounds", "bounds_of"]
--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -11,8 +11,8 @@
 from ochreway_core.crashnews import CrashNews
 from ochreway_core.ids import GroupId, HallId, NodeId
 from ochreway_core.peer import Peer
-from ochreway_direct.bounds.means import means_of
-from ochreway_direct.bounds.meanswatch import CHECK_S, MeansWatch
+from ochreway_direct.bounds.resourcebounds import bounds_of
+from ochreway_direct.bounds.resourcewatch import CHECK_INTERVAL_S, ResourceWatch
 from ochreway_direct.coordination import Coordination
 from ochreway_direct.coordinator import CoordinatorTuning
 from ochreway_direct.crashes.crashkeeper import CrashKeeper
@@ -97,7 +97,7 @@
         timing: DirectTiming,
         log: EventLog,
         metrics: Metrics,
-        resting: IdleLimits | None = None,
+        idle_limits: IdleLimits | None = None,
     ) -> None:
         """Own the parts given; ``resting`` bounds idle connections to targets."""
         self.settings = settings
@@ -131,8 +131,8 @@
         self.retry_budget = RetryBudget(settings.retries_per_request)
         known = KnownEntry(self.me, HallId(settings.hall), settings.strength)
         self.peers = Peers(known, timing.peer_silent_s)
-        self.means = MeansWatch(
-            *(means_of(settings), self.serving, self.peers, log, metrics, resting)
+        self.resources = ResourceWatch(
+            *(bounds_of(settings), self.serving, self.peers, log, metrics, idle_limits)
         )
         self.timer = TimerService(timing.tick_s)
         self.lag = LoopLag(timing.tick_s, log)
@@ -300,7 +300,7 @@
         self.timer.every(timing.heartbeat_s, self._home_check.check)
         self.timer.every(timing.heartbeat_s, lambda _: self._share_retries())
         self.timer.every(timing.heartbeat_s, self._crash_spread.repeat)
-        self.timer.every(CHECK_S, self.means.check)
+        self.timer.every(CHECK_INTERVAL_S, self.resources.check)
         if self.settings.has(Mechanism.SILENCE_SUSPECTED):
             self.timer.every(SUSPECT_AGAIN_S, self._suspect_silent)
         self.timer.every(timing.fleet_update_s, lambda _: self._sharing.publish())
@@ -348,7 +348,7 @@
             "targets_cold": float(self._cold.number(now_s)),
             "loans_taken": float(self._limit.loans(now_s)),
             "loans_made": float(self._loans.lent(now_s)),
-            **self.means.gauges(),
+            **self.resources.gauges(),
         }
 
     def _share_retries(self) -> None:
--- a/packages/ochreway-direct/src/ochreway_direct/main.py
+++ b/packages/ochreway-direct/src/ochreway_direct/main.py
@@ -170,7 +170,7 @@
 async def _serve_callers(
     settings: DirectSettings, entry: DirectEntry, relay: Relay
 ) -> web.ServerRunner:
-    server = CallerServer(entry.serving, relay, entry.means.callers)
+    server = CallerServer(entry.serving, relay, entry.resources.callers)
     return await _listen(web.ServerRunner(server, shutdown_timeout=0.5), settings.caller_listen)
 
 
