--- a/packages/ochreway-direct/src/ochreway_direct/bounds/memoryreader.py
+++ b/packages/ochreway-direct/src/ochreway_direct/bounds/memoryreader.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How much memory this process takes."""
+"""Resident memory of this process."""
 
 import os
 from pathlib import Path
@@ -15,11 +15,11 @@
         self._page_bytes = os.sysconf("SC_PAGE_SIZE")
 
     def resident_bytes(self) -> int:
-        """Return how much of the process is in memory.
+        """Return the resident size in bytes.
 
         Raises:
-            OSError: when the kernel does not tell.
-            ValueError: when what it tells cannot be read.
+            OSError: if the file cannot be read.
+            ValueError: if its content cannot be parsed.
         """
         fields = self._path.read_text(encoding="ascii").split()
         if len(fields) < 2:
--- a/packages/ochreway-direct/src/ochreway_direct/bounds/pressure.py
+++ b/packages/ochreway-direct/src/ochreway_direct/bounds/pressure.py
@@ -1,20 +1,23 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Whether a resource is near its bound, with hysteresis."""
+"""Pressure on a bounded resource, with hysteresis."""
 
 from dataclasses import dataclass
 
 NEVER_S = -1.0e9
 MAX_HOLD_S = 10.0
-"""For how long an entry stays near after its use fell below the share at which that begins.
+"""How long a resource stays under pressure after its use fell below the entering share.
 
-Callers that stay connected keep a use from falling further; without an end an entry that has room
-would be passed over by new callers for good.
+Callers that stay connected may keep the use above the leaving share; without a timeout, an entry
+with spare capacity would get no new callers for good.
 """
 
 
 @dataclass(slots=True)
 class Pressure:
-    """Hold whether use is near a bound: from one share, until below a smaller one or a timeout."""
+    """Hold whether use is near a bound: from the entering share until the leaving one or a timeout.
+
+    ``enter_share`` and ``exit_share`` are shares of the bound.
+    """
 
     enter_share: float
     exit_share: float
@@ -22,7 +25,7 @@
     last_reached_s: float = NEVER_S
 
     def update(self, share: float, now_s: float) -> bool:
-        """Take the share that is used now; return whether ``near`` has changed."""
+        """Update the share in use; return whether ``near`` has changed."""
         before = self.near
         if share >= self.enter_share:
             self.last_reached_s = now_s
--- a/packages/ochreway-direct/src/ochreway_direct/bounds/resource.py
+++ b/packages/ochreway-direct/src/ochreway_direct/bounds/resource.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What an entry may run short of."""
+"""The bounded resources of an instance."""
 
 from enum import Enum
 
--- a/packages/ochreway-direct/src/ochreway_direct/bounds/resourcebounds.py
+++ b/packages/ochreway-direct/src/ochreway_direct/bounds/resourcebounds.py
@@ -1,25 +1,25 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How much this instance may hold open, keep in memory and send."""
+"""Bounds on connections, memory and link bandwidth of this instance."""
 
 from dataclasses import dataclass
 
 from ochreway_direct.settings import DirectSettings
 
 RESERVED_DESCRIPTORS = 200
-"""Descriptors that are left to files and to what libraries open."""
+"""Descriptors reserved for files and for libraries."""
 CALLERS_SHARE = 0.4
-"""The share of sockets for callers; each may need one to a target too, and links need the rest."""
+"""Share of sockets for callers; each may need one to a target too, and links need the rest."""
 IDLE_SHARE = 0.1
-"""The share of sockets for idle connections to targets: what is left beside busy ones and links."""
+"""Share of sockets for idle connections to targets, beside the busy ones and the links."""
 MIN_CONNECTIONS = 16
-"""No bound is lower: an entry with hardly any descriptors still serves some callers."""
+"""Lower limit of each bound, so that an entry with few descriptors still serves some callers."""
 BYTES_PER_MBPS = 125_000.0
 BYTES_PER_MB = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceBounds:
-    """Hold the bounds of one entry; ``None``: not bounded."""
+    """Hold the resource bounds of one entry; ``None`` means unbounded."""
 
     callers: int | None = None
     idle: int | None = None
@@ -28,7 +28,7 @@
 
 
 def bounds_of(settings: DirectSettings) -> ResourceBounds:
-    """Return the bounds that the settings give."""
+    """Return the bounds that follow from the settings."""
     callers = idle = None
     if settings.descriptors:
         sockets = settings.descriptors - RESERVED_DESCRIPTORS
--- a/packages/ochreway-direct/src/ochreway_direct/bounds/resourcewatch.py
+++ b/packages/ochreway-direct/src/ochreway_direct/bounds/resourcewatch.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Watching how near an entry is to the bounds of its instance."""
+"""Monitoring of the resources of this instance against their bounds."""
 
 from ochreway_direct.bounds.memoryreader import MemoryReader
 from ochreway_direct.bounds.pressure import Pressure
@@ -13,20 +13,20 @@
 from ochreway_runtime.metrics import Metrics
 
 CHECK_INTERVAL_S = 0.25
-"""How often the shares are checked: four times as often as the platform asks for readiness."""
+"""How often the shares are checked: four times as often as the platform polls readiness."""
 LINK_WINDOW_S = 1.0
-"""Over how long bytes are summed; shorter, one large answer would look like a full link."""
+"""Window over which sent bytes are summed; a shorter one takes a large answer for a full link."""
 PRESSURE_SHARES = {
     Resource.CONNECTIONS: (0.85, 0.7),
     Resource.MEMORY: (0.9, 0.8),
     Resource.LINK: (0.85, 0.6),
 }
-"""For each resource the share from which new callers go elsewhere, and below which they return."""
+"""Shares of each resource from which new callers are sent away, and below which they return."""
 SHARE_DIGITS = 3
 
 
 class ResourceWatch:
-    """Tell the serving state which resource is short, and bound resting connections."""
+    """Mark the resources that are short in the serving state, and bound idle connections."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self._sent_samples: list[tuple[float, int]] = []
 
     def check(self, now_s: float) -> None:
-        """Look at every resource once."""
+        """Check every resource once."""
         self.shares = {
             Resource.CONNECTIONS: self.callers.share,
             Resource.MEMORY: self._memory_share(),
@@ -66,7 +66,7 @@
         self._update_idle_limit()
 
     def gauges(self) -> dict[str, float]:
-        """Return the shares in use, and callers' connections, for an operator's page."""
+        """Return the used share of each resource and the number of caller connections."""
         shares = {f"{each.value}_share": round(n, SHARE_DIGITS) for each, n in self.shares.items()}
         return {**shares, "caller_connections": float(self.callers.open)}
 
@@ -98,12 +98,12 @@
         while len(self._sent_samples) > 1 and self._sent_samples[1][0] <= now_s - LINK_WINDOW_S:
             del self._sent_samples[0]
         begun_s, before = self._sent_samples[0]
-        # A check that follows a stall sees all the bytes of it, and its time too.
+        # A check after a stall covers all bytes sent meanwhile, and the full time of the stall.
         elapsed_s = max(LINK_WINDOW_S, now_s - begun_s)
         return (self._serving.sent_bytes - before) / elapsed_s / bound
 
     def _update_idle_limit(self) -> None:
-        """Take this entry's part of the connections that one target allows."""
+        """Set this entry's share of the connections that one target allows."""
         routes = self._serving.routes
         services = routes.configuration.services if routes is not None else ()
         allowed = [s.connections_at_most for s in services if s.connections_at_most]
--- a/packages/ochreway-direct/src/ochreway_direct/ports/__init__.py
+++ b/packages/ochreway-direct/src/ochreway_direct/ports/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What a direct entry asks of the platform that it runs on."""
+"""Interfaces that a platform adapter implements for a direct entry."""
 
 from ochreway_direct.ports.configurationsource import ConfigurationReading, ConfigurationSource
 from ochreway_direct.ports.dialect import AnswerHead, CallerDialect, CallerTerms, ForwardTerms
--- a/packages/ochreway-direct/src/ochreway_direct/ports/configurationsource.py
+++ b/packages/ochreway-direct/src/ochreway_direct/ports/configurationsource.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Where the accepted configuration comes from."""
+"""Source of the accepted configuration."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationReading:
-    """Hold the newest configuration as of a moment not before it was asked for.
+    """Hold the newest configuration as of a moment not before ``polled_s``.
 
-    It is ``None`` while the operators have accepted none. ``decoded_in_s`` is the time that
-    this process spent on decoding it, 0 when nothing was new. ``drained`` names the halls that
-    get nothing new, as of the same moment.
+    ``configuration`` is ``None`` while the operators have accepted none. ``decode_time_s`` is the
+    time that this process spent on decoding it, 0 when nothing was new. ``drained`` names the
+    halls that get no new requests, as of the same moment.
     """
 
     configuration: Configuration | None
@@ -34,9 +34,9 @@
             wait_s: how long to wait for a change, in seconds.
 
         Raises:
-            ConfigurationUnavailable: when the source does not answer.
-            ConfigurationUnreadable: when a version cannot be decoded; it names the halls that
-                the same reading shows as drained.
+            ConfigurationUnavailable: if the source does not answer.
+            ConfigurationUnreadable: if a version cannot be decoded; the error names the drained
+                halls of the same reading.
         """
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/ports/dialect.py
+++ b/packages/ochreway-direct/src/ochreway_direct/ports/dialect.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How callers and targets write their terms into HTTP headers."""
+"""HTTP headers of callers and targets, as a platform defines them."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerTerms:
-    """Hold what a caller's headers say about its request."""
+    """Hold the parameters that a caller's headers give for its request."""
 
     request: str
     key: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardTerms:
-    """Hold what the entry tells a target beside the caller's own headers."""
+    """Hold what the entry sends to a target in addition to the caller's headers."""
 
     instance: InstanceId
     deadline_s: float
@@ -39,9 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """Hold what a target's headers say about its answer, and about itself.
+    """Hold what the headers of an answer say about it and about the target.
 
-    One that is not its target's ``own`` may come from another instance at the same address.
+    If ``own`` is false, the answer may come from another instance at the target's address.
     """
 
     request: str
@@ -53,27 +53,27 @@
 
 
 class CallerDialect(ABC):
-    """Read callers' headers, and write and read those of targets."""
+    """Parse the headers of callers and answers, and build those of forwarded requests."""
 
     @abstractmethod
     def read(self, headers: Mapping[str, str]) -> CallerTerms:
-        """Return what a caller's headers say."""
+        """Parse the headers of a caller."""
 
     @abstractmethod
     def forward(self, headers: Mapping[str, str], terms: ForwardTerms) -> CIMultiDict[str]:
-        """Return the headers that a target gets."""
+        """Return the headers of the request to a target."""
 
     @abstractmethod
     def answer_head(self, status: int, headers: Mapping[str, str]) -> AnswerHead:
-        """Return what a target's headers say."""
+        """Parse the headers of a target's answer."""
 
     @abstractmethod
     def answer(self, headers: Mapping[str, str]) -> CIMultiDict[str]:
-        """Return the headers of a target's answer that a caller gets."""
+        """Return the headers of a target's answer that are passed to the caller."""
 
     @abstractmethod
     def refusal(self, request: str, retry_after_s: float | None) -> CIMultiDict[str]:
-        """Return the headers of the entry's own failure."""
+        """Return the headers of an error answer by the entry itself."""
 
 
 __all__ = ["AnswerHead", "CallerDialect", "CallerTerms", "ForwardTerms"]
--- a/packages/ochreway-direct/src/ochreway_direct/ports/enginecontrol.py
+++ b/packages/ochreway-direct/src/ochreway_direct/ports/enginecontrol.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Asking and ordering the engines of groups."""
+"""Queries and orders to the engines of groups."""
 
 from abc import ABC, abstractmethod
 
@@ -9,26 +9,26 @@
 
 
 class EngineControl(ABC):
-    """Ask an engine for its state and give it orders."""
+    """Query the state of engines and send them orders."""
 
     @abstractmethod
     async def state(self, address: str, instance: InstanceId, timeout_s: float) -> EngineState:
-        """Return what an engine says of itself; another one at its address may not answer.
+        """Return the state that an engine reports; an answer by another instance is an error.
 
         Raises:
-            TargetUnreachable: when nothing listens at the address, or another instance does.
-            TargetBroke: when no good answer comes in time.
-            TargetTurnedAway: when it asks to be left alone for a while.
+            TargetUnreachable: if nothing listens at the address, or another instance does.
+            TargetBroke: if no valid answer arrives in time.
+            TargetTurnedAway: if the engine requests a backoff.
         """
 
     @abstractmethod
     async def order(
         self, address: str, instance: InstanceId, order: Order, timeout_s: float
     ) -> OrderOutcome:
-        """Give an order to one instance; another one at its address does not take it.
+        """Send an order to an instance; another one at its address rejects it.
 
         Raises:
-            TargetTurnedAway: when it did not take it and asks to be left alone for a while.
+            TargetTurnedAway: if the engine rejected the order and requests a backoff.
         """
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/ports/platformservices.py
+++ b/packages/ochreway-direct/src/ochreway_direct/ports/platformservices.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""All that an adapter gives a direct entry, and the registry of adapters."""
+"""The services that an adapter provides to a direct entry, and the registry of adapters."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformServices:
-    """Bundle the ports that an adapter implements."""
+    """Hold the implementations of all ports."""
 
     configurations: ConfigurationSource
     targets: TargetList
@@ -31,7 +31,7 @@
 
 
 def adapter(name: str) -> Callable[[AdapterFactory], AdapterFactory]:
-    """Register what builds the ports of a platform."""
+    """Register the factory of a platform's ports."""
 
     def register(factory: AdapterFactory) -> AdapterFactory:
         ADAPTERS[name] = factory
--- a/packages/ochreway-direct/src/ochreway_direct/ports/targetlist.py
+++ b/packages/ochreway-direct/src/ochreway_direct/ports/targetlist.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Where the list of targets comes from."""
+"""Source of the list of targets."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Mapping
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetReading:
-    """Hold every listed target as of a moment not before it was asked for.
+    """Hold all listed targets as of a moment not before ``polled_s``.
 
-    ``unreadable`` gives, by entry, why its newest content could not be decoded; such a target is
-    listed as leaving if it was known before, and not at all if it was not.
+    ``unreadable`` maps list entries whose newest content could not be decoded to the cause. Such a
+    target is listed as leaving if it was known before, and is omitted otherwise.
     """
 
     targets: tuple[ListedTarget, ...]
@@ -32,7 +32,7 @@
             wait_s: how long to wait for a change, in seconds.
 
         Raises:
-            ListUnavailable: when the list cannot be read.
+            ListUnavailable: if the list cannot be read.
         """
 
 
