--- a/packages/ochreway-direct/src/ochreway_direct/bounds/pressure.py
+++ b/packages/ochreway-direct/src/ochreway_direct/bounds/pressure.py
@@ -1,34 +1,37 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Whether a resource is near its bound, with hysteresis."""
+"""Pressure on a bounded resource, with hysteresis."""
 
 from dataclasses import dataclass
 
 NEVER_S = -1.0e9
-HELD_AT_MOST_S = 10.0
-"""For how long an entry stays near after its use fell below the share at which that begins.
+MAX_HOLD_S = 10.0
+"""How long a resource stays under pressure after its use fell below the entering share.
 
-Callers that stay connected keep a use from falling further; without an end an entry that has room
-would be passed over by new callers for good.
+Callers that stay connected may keep the use above the leaving share; without a timeout, an entry
+with spare capacity would get no new callers for good.
 """
 
 
 @dataclass(slots=True)
 class Pressure:
-    """Hold whether use is near a bound: from one share, until below a smaller one or a timeout."""
+    """Hold whether use is near a bound: from the entering share until the leaving one or a timeout.
 
-    begins_share: float
-    ends_share: float
+    ``enter_share`` and ``exit_share`` are shares of the bound.
+    """
+
+    enter_share: float
+    exit_share: float
     near: bool = False
-    reached_s: float = NEVER_S
+    last_reached_s: float = NEVER_S
 
     def update(self, share: float, now_s: float) -> bool:
-        """Take the share that is used now; return whether ``near`` has changed."""
+        """Update the share in use; return whether ``near`` has changed."""
         before = self.near
-        if share >= self.begins_share:
-            self.reached_s = now_s
-        held = share >= self.ends_share and now_s - self.reached_s < HELD_AT_MOST_S
-        self.near = share >= self.begins_share or (before and held)
+        if share >= self.enter_share:
+            self.last_reached_s = now_s
+        held = share >= self.exit_share and now_s - self.last_reached_s < MAX_HOLD_S
+        self.near = share >= self.enter_share or (before and held)
         return self.near is not before
 
 
-__all__ = ["HELD_AT_MOST_S", "Pressure"]
+__all__ = ["MAX_HOLD_S", "Pressure"]
