--- a/packages/ochreway-daemon/src/ochreway_daemon/api/status.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/api/status.py
@@ -86,7 +86,7 @@
         "members": [
             {
                 "node": peer.node,
-                "version": node.spread.shown_by(peer.node),
+                "version": node.view_sync.version_of(peer.node),
                 "why_not_ready": _why_not_ready(controller.health.get(peer.node), row, now_s),
             }
             for peer in row.members
@@ -99,7 +99,7 @@
         return "not heard of yet"
     report = health.report
     checks = (
-        (health.lost_for_s(now_s) > 3.0, f"silent for {health.lost_for_s(now_s):.0f} s"),
+        (health.silent_for_s(now_s) > 3.0, f"silent for {health.silent_for_s(now_s):.0f} s"),
         (health.leaving or report.leaving, "leaving"),
         (report.epoch != row.epoch, f"at epoch {report.epoch}"),
         (not report.ready, "loading"),
--- a/packages/ochreway-direct/src/ochreway_direct/main.py
+++ b/packages/ochreway-direct/src/ochreway_direct/main.py
@@ -18,15 +18,15 @@
 from ochreway_direct.lazymetricspage import LazyMetricsPage
 from ochreway_direct.ports.platformservices import ADAPTERS
 from ochreway_direct.relay.callerserver import CallerServer
+from ochreway_direct.relay.idlelimits import IdleLimits
 from ochreway_direct.relay.relay import Relay
-from ochreway_direct.relay.restingbounds import RestingBounds
 from ochreway_direct.relay.targetconnections import TargetConnections
 from ochreway_direct.relay.targetprotocol import TargetConnector
 from ochreway_direct.relay.targetsession import target_session
 from ochreway_direct.relay.tuning import RelayTuning
 from ochreway_direct.settings import DirectSettings, check
 from ochreway_direct.timing import DirectTiming
-from ochreway_direct.versions.firstconfiguration import first_configuration
+from ochreway_direct.versions.firstconfiguration import wait_for_first_configuration
 from ochreway_runtime import steadyloop
 from ochreway_runtime.checks import shown
 from ochreway_runtime.errors import SettingsInvalid
@@ -116,9 +116,9 @@
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: log.event("hang_up"))
     jar = aiohttp.DummyCookieJar()
-    resting = RestingBounds()
+    resting = IdleLimits()
     to_targets = TargetConnector(lambda: metrics.count("connections.target"), resting)
-    to_one = TargetConnector(lambda: metrics.count("connections.single"), keeps=False)
+    to_one = TargetConnector(lambda: metrics.count("connections.single"), keep_alive=False)
     to_platform = TargetConnector(lambda: metrics.count("connections.platform"))
     async with (
         target_session(to_targets) as kept,
@@ -133,7 +133,7 @@
         )
         try:
             await entry.start()
-            await first_configuration(entry.serving)
+            await wait_for_first_configuration(entry.serving)
             callers = await _serve_callers(settings, entry, relay)
             ready = await _serve_ready(settings, entry)
             connections = TargetConnections((to_targets, to_one), metrics, relay)
@@ -170,7 +170,7 @@
 async def _serve_callers(
     settings: DirectSettings, entry: DirectEntry, relay: Relay
 ) -> web.ServerRunner:
-    server = CallerServer(entry.serving, relay, entry.means.callers)
+    server = CallerServer(entry.serving, relay, entry.resources.callers)
     return await _listen(web.ServerRunner(server, shutdown_timeout=0.5), settings.caller_listen)
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/relay/calllog.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/calllog.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The lines that a log has of a request: what was decided, by what, and what became of it."""
+"""Log lines about requests: failed attempts, refusals and answers."""
 
 import asyncio
 
@@ -11,14 +11,15 @@
 from ochreway_direct.serving import Serving
 from ochreway_runtime.logs import EventLog
 
-DIGITS = 3
-"""Durations are written to the ms."""
+DURATION_DIGITS = 3
+"""Durations are logged in seconds with this many decimals."""
 
 
 class CallLog:
-    """Write a line for each attempt that failed, and for how each request ended.
+    """Log failed attempts and the result of each request.
 
-    Failures and late answers have a budget of their own; of answers in time only some are written.
+    Failures and late answers have a line budget of their own; of answers in time only some are
+    logged.
     """
 
     def __init__(self, log: EventLog, serving: Serving) -> None:
@@ -27,7 +28,7 @@
         self._fleet: Fleet = serving.fleet
 
     def attempt_failed(self, call: Call, attempt: Attempt, ending: Ending, begun_s: float) -> None:
-        """Write how an attempt ended, and by what its place was chosen."""
+        """Log how an attempt ended, and the state by which its target was chosen."""
         now_s = asyncio.get_running_loop().time()
         self._log.failure(
             "attempt",
@@ -37,7 +38,7 @@
             target=attempt.instance,
             group=attempt.group or "",
             epoch=attempt.epoch or "",
-            view=self._fleet.shown,
+            view=self._fleet.view_name,
             version=self._serving.version,
             load=attempt.load,
             pace=attempt.pace,
@@ -48,34 +49,36 @@
             limit_per_s=attempt.notice.limit_per_s or "",
             leaving=attempt.notice.leaving,
             lost=attempt.lost,
-            took_s=round(now_s - begun_s, DIGITS),
-            left_s=round(call.left_s(now_s), DIGITS),
+            took_s=round(now_s - begun_s, DURATION_DIGITS),
+            left_s=round(call.left_s(now_s), DURATION_DIGITS),
         )
 
     def refused(self, request: str, call: Call | None, refused: Refused) -> None:
-        """Write that a request was refused; without a call it was not admitted."""
+        """Log that a request was refused; ``call`` is None if it was not admitted."""
         now_s = asyncio.get_running_loop().time()
         fields: dict[str, object] = {
             "request": request,
             "status": refused.status,
             "reason": refused.reason.value,
             "version": self._serving.version,
-            "proof_age_s": round(self._serving.freshness.age_s(now_s), DIGITS),
-            "view": self._fleet.shown,
+            "proof_age_s": round(self._serving.freshness.age_s(now_s), DURATION_DIGITS),
+            "view": self._fleet.view_name,
         }
         if call is not None:
-            fields |= self._of_call(call, now_s)
-            fields["places"] = len(self._fleet.places(call.service, call.terms.model, call.within))
+            fields |= self._call_fields(call, now_s)
+            fields["places"] = len(
+                self._fleet.eligible_groups(call.service, call.terms.model, call.allowed_halls)
+            )
         self._log.failure("refused", **fields)
 
     def broken(self, call: Call | None, request: str, broken: AnswerBroken) -> None:
-        """Write that an answer broke off after its caller was given a part of it."""
+        """Log that an answer broke off after a part of it was forwarded to the caller."""
         now_s = asyncio.get_running_loop().time()
-        fields = self._of_call(call, now_s) if call is not None else {}
+        fields = self._call_fields(call, now_s) if call is not None else {}
         self._log.failure("broken", request=request, reason=broken.reason.value, **fields)
 
     def answered(self, call: Call, status: int) -> None:
-        """Write that a request was answered, and whether in time."""
+        """Log that a request was answered, and whether in time."""
         now_s = asyncio.get_running_loop().time()
         first_s = (call.first_part_s or now_s) - call.started_s
         late = first_s > call.route.objective_s
@@ -85,19 +88,19 @@
             request=call.terms.request,
             status=status,
             late=late,
-            first_s=round(first_s, DIGITS),
+            first_s=round(first_s, DURATION_DIGITS),
             objective_s=call.route.objective_s,
-            **self._of_call(call, now_s),
+            **self._call_fields(call, now_s),
         )
 
-    def _of_call(self, call: Call, now_s: float) -> dict[str, object]:
+    def _call_fields(self, call: Call, now_s: float) -> dict[str, object]:
         return {
             "fingerprint": call.fingerprint,
             "service": call.service,
             "model": call.terms.model or "",
             "given_s": call.terms.deadline_s or "",
-            "took_s": round(now_s - call.started_s, DIGITS),
-            "waited_s": round(call.waited_s, DIGITS),
+            "took_s": round(now_s - call.started_s, DURATION_DIGITS),
+            "waited_s": round(call.waited_s, DURATION_DIGITS),
             "sends": call.sends,
             "runs": call.runs,
             "target": call.target or "",
--- a/packages/ochreway-direct/src/ochreway_direct/versions/routetable.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/routetable.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Finding the route and the organisation of a request in an accepted configuration."""
+"""Lookup of the route and the organisation of a request in an accepted configuration."""
 
 from collections import defaultdict
 
@@ -9,7 +9,7 @@
 
 
 class RouteTable:
-    """Index one configuration by host and prefix, key and service."""
+    """Index a configuration by host and prefix, key and service."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
@@ -22,30 +22,30 @@
             for organisation in configuration.organisations
             for key in organisation.keys
         }
-        bound = [each.homes for each in configuration.routes]
-        bound += [each.homes for each in configuration.organisations]
-        self.homes: frozenset[RegionId] = frozenset().union(*bound)
+        home_lists = [each.homes for each in configuration.routes]
+        home_lists += [each.homes for each in configuration.organisations]
+        self.homes: frozenset[RegionId] = frozenset().union(*home_lists)
 
     @property
     def version(self) -> Version:
-        """Return the version that is indexed."""
+        """Return the version of the indexed configuration."""
         return self.configuration.version
 
     @property
-    def asks_for_keys(self) -> bool:
-        """Tell whether callers have to present a key."""
+    def requires_keys(self) -> bool:
+        """Return whether callers have to present a key."""
         return bool(self.configuration.organisations)
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix, which ends in a slash, that begins the path."""
+        """Return the route with the longest prefix of the path; prefixes end in a slash."""
         prefixes = self._routes.get(host.lower())
         if prefixes is None:
             return None
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            found = prefixes.get(path[: end + 1])
-            if found is not None:
-                return found
+            matching_route = prefixes.get(path[: end + 1])
+            if matching_route is not None:
+                return matching_route
         return None
 
     def organisation(self, key: str) -> Organisation | None:
--- a/packages/ochreway-routing/src/ochreway_routing/prefix.py
+++ b/packages/ochreway-routing/src/ochreway_routing/prefix.py
@@ -1,33 +1,34 @@
 # SPDX-License-Identifier: Apache-2.0
 """Chained hashes of a prompt's leading blocks.
 
-Two prompts share a cached prefix up to the last hash that they share, so a partial match
-counts. The idea of scoring overlap by block, and of reading no more of a body than needed,
-is from "We fight GPU scarcity without compromise".
+Two prompts share a cached prefix up to their last common hash, so a partial match counts. Scoring
+the overlap by block, and reading no more of a body than needed, follows "We fight GPU scarcity
+without compromise".
 """
 
 import xxhash
 
 BLOCK_BYTES = 256
 BLOCK_TOKENS = 64
-BLOCKS_AT_MOST = 64
+MAX_BLOCKS = 64
+"""Bound on the leading blocks that are hashed."""
 
 
-def blocks_of(target: str, prompt: bytes) -> tuple[int, ...]:
-    """Return the chained hashes of the prompt's whole leading blocks.
+def prompt_block_hashes(target: str, prompt: bytes) -> tuple[int, ...]:
+    """Return the chained hashes of the prompt's complete leading blocks.
 
     Args:
-        target: the model's name; another model's cache is of no use.
+        target: the model's name, part of the hash as caches are not shared between models.
         prompt: the prompt's bytes as the engine would see them.
     """
     chain = xxhash.xxh64_intdigest(target.encode())
     hashes = []
-    whole = min(len(prompt) // BLOCK_BYTES, BLOCKS_AT_MOST)
-    for index in range(whole):
+    block_count = min(len(prompt) // BLOCK_BYTES, MAX_BLOCKS)
+    for index in range(block_count):
         block = prompt[index * BLOCK_BYTES : (index + 1) * BLOCK_BYTES]
         chain = xxhash.xxh64_intdigest(block, seed=chain)
         hashes.append(chain)
     return tuple(hashes)
 
 
-__all__ = ["BLOCKS_AT_MOST", "BLOCK_BYTES", "BLOCK_TOKENS", "blocks_of"]
+__all__ = ["MAX_BLOCKS", "BLOCK_BYTES", "BLOCK_TOKENS", "prompt_block_hashes"]
