--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/layout.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/layout.py
@@ -194,10 +194,10 @@
         )
         kept = {slot: 1 for slot in {each.model: each for each in current_slots}.values()}
         max_groups = dict.fromkeys((each.name for each in self._spec.models), 1)
-        models, capacities_held = self._spec.models, self._capacities
-        arrangement = arrange(models, wanted, capacities_held, kept, max_groups)
+        models, domain_capacities = self._spec.models, self._capacities
+        arrangement = arrange(models, wanted, domain_capacities, kept, max_groups)
         return (
-            arrange(models, wanted, capacities_held, {}, max_groups)
+            arrange(models, wanted, domain_capacities, {}, max_groups)
             if arrangement is None
             else arrangement
         )
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/probing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/probing.py
@@ -38,7 +38,7 @@
 """Time over which unused probes accumulate, as engines are probed in bursts."""
 
 
-def _periods_s(tuning: CoordinatorTuning) -> dict[ProbeCause, float]:
+def _intervals_s(tuning: CoordinatorTuning) -> dict[ProbeCause, float]:
     return {
         ProbeCause.DEAD: tuning.dead_probe_s,
         ProbeCause.SUSPECTED: 0.0,
@@ -74,7 +74,7 @@
         """Start with the shared state; ``is_answering`` returns whether a group answers entries."""
         self._state = state
         self.is_answering = is_answering
-        self._probe_intervals_s = _periods_s(state.tuning)
+        self._probe_intervals_s = _intervals_s(state.tuning)
         self._budget = 0.0
         self._budget_updated_s: float | None = None
 
