--- a/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
@@ -267,9 +267,9 @@
         """Process another entry's heartbeat, and answer it if it asks for one."""
         now_s = asyncio.get_running_loop().time()
         self._peers.on_heartbeat(sender, heartbeat, now_s)
-        self._lease.note_alive(Holder(sender.node, heartbeat.incarnation))
+        self._lease.record_incarnation(Holder(sender.node, heartbeat.incarnation))
         if heartbeat.holder is not None:
-            self._lease.hear(heartbeat.holder.revision, now_s)
+            self._lease.record_revision(heartbeat.holder.revision, now_s)
         if self._accepts_coverage(heartbeat.coverage):
             covered = self._covered_entries(heartbeat)
             self.remote_work.add_report(
--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -158,7 +158,7 @@
             _tuning(settings),
             self.spawn,
             self._step_soon,
-            self.lease.doubt,
+            self.lease.renew_at_once,
             self.lag,
             lambda group: fleet.load(group) > 0,
             self.notices,
--- a/packages/ochreway-direct/src/ochreway_direct/leases/lease.py
+++ b/packages/ochreway-direct/src/ochreway_direct/leases/lease.py
@@ -14,7 +14,7 @@
 from ochreway_platform.table import Table
 
 LEASE_KEY = "lease/coordinator"
-RELEASE_S = 0.6
+RELEASE_TIMEOUT_S = 0.6
 """How long a process that ends waits for its release to be written: many usual answers."""
 
 
@@ -35,7 +35,7 @@
     released: bool = False
 
 
-ENDED = ""
+ENDED_INCARNATION = ""
 """Stands for the incarnation of a process that has ended."""
 
 
@@ -57,15 +57,15 @@
         self._holder = holder
         self._renew_s = renew_s
         self._backoff = backoff
-        self._alive: dict[NodeId, str] = {holder.node: holder.incarnation}
+        self._incarnations: dict[NodeId, str] = {holder.node: holder.incarnation}
         self._changes = 0
         self._retry_s = 0.0
         self.state = LeaseState.ABSENT
         self.revision = ABSENT
         self.row: LeaseRow | None = None
-        self.taken_at = ABSENT
+        self.acquired_revision = ABSENT
         self.renewed_s = 0.0
-        self.seen_s = 0.0
+        self.unchanged_since_s = 0.0
 
     @property
     def held(self) -> bool:
@@ -76,39 +76,39 @@
         """Tell whether the lease has to be renewed now."""
         return self.held and now_s >= max(self._retry_s, self.renewed_s + self._renew_s)
 
-    def doubt(self) -> None:
+    def renew_at_once(self) -> None:
         """Have the lease renewed at once, as an order was refused for a newer one's sake."""
         self.renewed_s = 0.0
 
-    def allowed(self, now_s: float) -> bool:
+    def may_retry(self, now_s: float) -> bool:
         """Tell whether the table may be asked again after its last failure."""
         return now_s >= self._retry_s
 
-    def hear(self, revision: int, now_s: float) -> None:
+    def record_revision(self, revision: int, now_s: float) -> None:
         """Note a revision that its holder spoke of."""
         if not self.held and revision > self.revision:
             self.revision = revision
-            self.seen_s = now_s
+            self.unchanged_since_s = now_s
 
-    def note_alive(self, process: Holder) -> None:
+    def record_incarnation(self, process: Holder) -> None:
         """Note which life of another process speaks, as any former one has ended."""
-        self._alive[process.node] = process.incarnation
+        self._incarnations[process.node] = process.incarnation
 
-    def note_ended(self, node: NodeId) -> None:
+    def record_ended(self, node: NodeId) -> None:
         """Note that a process has ended, until one speaks under its name again."""
-        self._alive[node] = ENDED
+        self._incarnations[node] = ENDED_INCARNATION
 
-    def _ended(self, holder: Holder) -> bool:
+    def _has_ended(self, holder: Holder) -> bool:
         """Tell whether the holder is known to have ended, or a later life of it speaks."""
-        return self._alive.get(holder.node, holder.incarnation) != holder.incarnation
+        return self._incarnations.get(holder.node, holder.incarnation) != holder.incarnation
 
-    def free(self, now_s: float, unchanged_s: float) -> bool:
+    def is_available(self, now_s: float, takeover_delay_s: float) -> bool:
         """Tell whether the lease may be taken: released, or not renewed for a while."""
-        if not self.allowed(now_s):
+        if not self.may_retry(now_s):
             return False
-        if self.row is None or self.row.released or self._ended(self.row.holder):
+        if self.row is None or self.row.released or self._has_ended(self.row.holder):
             return True
-        return now_s - self.seen_s >= unchanged_s
+        return now_s - self.unchanged_since_s >= takeover_delay_s
 
     async def observe(self, now_s: float) -> None:
         """Read the row."""
@@ -118,21 +118,21 @@
             self._retry_s = now_s + self._backoff.failed()
             return
         self._backoff.succeeded()
-        self._see(rows.get(LEASE_KEY), now_s)
+        self._apply_row(rows.get(LEASE_KEY), now_s)
 
-    def _see(self, row: Row | None, now_s: float) -> None:
+    def _apply_row(self, row: Row | None, now_s: float) -> None:
         revision = row.revision if row is not None else ABSENT
-        if revision != self.revision or self.seen_s == 0.0:
+        if revision != self.revision or self.unchanged_since_s == 0.0:
             self.revision = revision
-            self.seen_s = now_s
-        self.row = _read(row)
+            self.unchanged_since_s = now_s
+        self.row = _decode_row(row)
 
-    async def take(self, now_s: float) -> bool:
+    async def acquire(self, now_s: float) -> bool:
         """Take the lease from the state last seen; return whether that was done."""
         if not await self._write(released=False, now_s=now_s):
             return False
         self.state = LeaseState.HELD
-        self.taken_at = self.revision
+        self.acquired_revision = self.revision
         return True
 
     async def renew(self, now_s: float) -> None:
@@ -148,7 +148,7 @@
         if not self.held:
             return True
         try:
-            async with asyncio.timeout(RELEASE_S):
+            async with asyncio.timeout(RELEASE_TIMEOUT_S):
                 return await self._write(released=True, now_s=now_s)
         except TimeoutError:
             return False
@@ -162,15 +162,15 @@
         conditions = (Condition(LEASE_KEY, self.revision),)
         reply = await self._table.commit(Transaction(change, conditions, {LEASE_KEY: content}))
         if reply.status is CommitStatus.COMMITTED:
-            self._written(reply.revision, now_s)
+            self._on_written(reply.revision, now_s)
             return True
         if reply.status is CommitStatus.CONFLICT:
             self.state = LeaseState.ABSENT
             await self.observe(now_s)
-            return self._settled(change, now_s)
-        return await self._settle(change, now_s)
+            return self._confirm_change(change, now_s)
+        return await self._resolve_lost_reply(change, now_s)
 
-    async def _settle(self, change: ChangeId, now_s: float) -> bool:
+    async def _resolve_lost_reply(self, change: ChangeId, now_s: float) -> bool:
         """Find out what became of a write whose answer did not come."""
         self._retry_s = now_s + self._backoff.failed()
         try:
@@ -178,29 +178,29 @@
         except TableUnavailable:
             return False
         row = rows.get(LEASE_KEY)
-        found = _read(row)
-        if row is not None and row.revision != self.revision and found is not None:
-            mine = found.holder == self._holder
-            if not mine:
+        stored = _decode_row(row)
+        if row is not None and row.revision != self.revision and stored is not None:
+            is_own = stored.holder == self._holder
+            if not is_own:
                 self.state = LeaseState.ABSENT
-            self._see(row, now_s)
-        return self._settled(change, now_s)
+            self._apply_row(row, now_s)
+        return self._confirm_change(change, now_s)
 
-    def _settled(self, change: ChangeId, now_s: float) -> bool:
+    def _confirm_change(self, change: ChangeId, now_s: float) -> bool:
         if self.row is None or self.row.change != change:
             return False
-        self._written(self.revision, now_s)
+        self._on_written(self.revision, now_s)
         return True
 
-    def _written(self, revision: int, now_s: float) -> None:
+    def _on_written(self, revision: int, now_s: float) -> None:
         self._backoff.succeeded()
         self._retry_s = 0.0
         self.revision = revision
         self.renewed_s = now_s
-        self.seen_s = now_s
+        self.unchanged_since_s = now_s
 
 
-def _read(row: Row | None) -> LeaseRow | None:
+def _decode_row(row: Row | None) -> LeaseRow | None:
     if row is None:
         return None
     try:
--- a/packages/ochreway-direct/src/ochreway_direct/leases/leasekeeper.py
+++ b/packages/ochreway-direct/src/ochreway_direct/leases/leasekeeper.py
@@ -13,7 +13,7 @@
 from ochreway_runtime.logs import EventLog
 from ochreway_runtime.metrics import Metrics
 
-EPOCHS_PER_LEASE = 100_000
+EPOCHS_PER_REVISION = 100_000
 """How many groups one holder of the lease may form before epochs would meet the next one's."""
 
 
@@ -35,9 +35,9 @@
         serving: Serving,
         timing: DirectTiming,
         spawn: Callable[[Coroutine[None, None, None]], object],
-        taken: Callable[[Epoch], None],
-        renewed: Callable[[], None],
-        speaks: Callable[[], bool],
+        on_acquired: Callable[[Epoch], None],
+        on_renewed: Callable[[], None],
+        is_head: Callable[[], bool],
         log: EventLog,
         metrics: Metrics,
     ) -> None:
@@ -46,13 +46,13 @@
         self._serving = serving
         self._timing = timing
         self._spawn = spawn
-        self._taken = taken
-        self._renewed = renewed
-        self._speaks = speaks
+        self._on_acquired = on_acquired
+        self._on_renewed = on_renewed
+        self._is_head = is_head
         self._log = log
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
-        self._free_since_s = self._loop.time()
+        self._no_holder_since_s = self._loop.time()
         self._observe_due_s = 0.0
 
     async def run(self) -> None:
@@ -60,12 +60,12 @@
         while True:
             await asyncio.sleep(self._timing.tick_s)
             now_s = self._loop.time()
-            if self._serving.stopping or not self._lease.allowed(now_s):
+            if self._serving.stopping or not self._lease.may_retry(now_s):
                 continue
             if self._lease.held:
                 await self._renew(now_s)
-            elif now_s >= self._observe_due_s and self._may_take(now_s):
-                await self._take(now_s)
+            elif now_s >= self._observe_due_s and self._may_acquire(now_s):
+                await self._acquire(now_s)
 
     def on_link_down(self, node: NodeId) -> None:
         """Find out whether the holder of the lease has ended, which its silence would tell late."""
@@ -82,7 +82,7 @@
         except ConnectionError:
             self._log.event("holder_ended", holder=holder.node)
             self._peers.on_process_ended(holder.node, self._loop.time())
-            self._lease.note_ended(holder.node)
+            self._lease.record_ended(holder.node)
         except (TimeoutError, OSError):
             self._log.detail("holder_unreachable", holder=holder.node)
 
@@ -94,42 +94,42 @@
         if not self._lease.held:
             self._log.event("lease_lost", revision=self._lease.revision)
             return
-        self._renewed()
+        self._on_renewed()
 
-    def _may_take(self, now_s: float) -> bool:
+    def _may_acquire(self, now_s: float) -> bool:
         """Tell whether the lease looks free: no holder is heard, and others go first by name."""
         if self._serving.routes is None or self._peers.holder(now_s) is not None:
-            self._free_since_s = now_s
+            self._no_holder_since_s = now_s
             return False
         wait_s = self._timing.lease_stagger_s * self._peers.rank(now_s)
-        if not self._speaks():
+        if not self._is_head():
             wait_s += self._timing.lease_member_wait_s
         if self._peers.is_isolated(now_s):
             wait_s = self._timing.lease_isolated_s
-        return now_s - self._free_since_s >= wait_s
+        return now_s - self._no_holder_since_s >= wait_s
 
-    def _unchanged_s(self) -> float:
+    def _takeover_delay_s(self) -> float:
         """Return for how long the row has to stand unchanged to be taken from its holder.
 
         One that was heard says so with each heartbeat. Of one that was never heard, as after
         everything was restarted, only its renewals can tell that it lives.
         """
         row = self._lease.row
-        heard = row is not None and self._peers.was_ever_seen(row.holder.node)
-        return self._timing.peer_silent_s if heard else self._timing.lease_unheard_s
+        was_seen = row is not None and self._peers.was_ever_seen(row.holder.node)
+        return self._timing.peer_silent_s if was_seen else self._timing.lease_unheard_s
 
-    async def _take(self, now_s: float) -> None:
+    async def _acquire(self, now_s: float) -> None:
         self._metrics.count("lease.observed")
         await self._lease.observe(now_s)
-        if not self._lease.free(now_s, self._unchanged_s()):
+        if not self._lease.is_available(now_s, self._takeover_delay_s()):
             self._observe_due_s = self._loop.time() + self._timing.lease_observed_again_s
             return
-        if not await self._lease.take(now_s):
-            self._free_since_s = self._loop.time()
+        if not await self._lease.acquire(now_s):
+            self._no_holder_since_s = self._loop.time()
             return
-        self._log.event("lease_taken", revision=self._lease.taken_at)
+        self._log.event("lease_taken", revision=self._lease.acquired_revision)
         self._metrics.count("lease.taken")
-        self._taken(Epoch(self._lease.taken_at * EPOCHS_PER_LEASE))
+        self._on_acquired(Epoch(self._lease.acquired_revision * EPOCHS_PER_REVISION))
 
 
 __all__ = ["LeaseKeeper"]
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/loans.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/loans.py
@@ -43,8 +43,8 @@
         """Return what an entry is lent with a heartbeat that is sent now."""
         if not self._lease.held:
             return None
-        if self._taken_at != self._lease.taken_at:
-            self._taken_at = self._lease.taken_at
+        if self._taken_at != self._lease.acquired_revision:
+            self._taken_at = self._lease.acquired_revision
             self._lender.begin(now_s)
         parts = self._limit.lendable()
         if not parts or not self._lender.lends(self._lease.renewed_s, now_s):
--- a/packages/ochreway-standins/src/ochreway_standins/limitbench.py
+++ b/packages/ochreway-standins/src/ochreway_standins/limitbench.py
@@ -108,7 +108,7 @@
             entry.serving.apply(Configuration(Version(2), services=(service,)))
         holder = next(iter(world.entries.values()))
         holder.lease.state = LeaseState.HELD
-        holder.lease.taken_at = 1
+        holder.lease.acquired_revision = 1
         holder.lease.renewed_s = float("inf") if lends else float("-inf")
         world.run(SETTLED_S)
         found.append(LimitWorld(world, groups, per_s, seed))
--- a/tests/direct/sendworld.py
+++ b/tests/direct/sendworld.py
@@ -149,7 +149,7 @@
 
     def take(self, now_s: float) -> bool:
         finished(self.lease.observe(now_s))
-        return finished(self.lease.take(now_s))
+        return finished(self.lease.acquire(now_s))
 
 
 @dataclass(slots=True)
--- a/tests/direct/test_lease.py
+++ b/tests/direct/test_lease.py
@@ -16,15 +16,15 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.lose = False
+        self.lose_replies = False
 
     async def commit(self, transaction: Transaction) -> CommitReply:
         reply = await super().commit(transaction)
-        return CommitReply(CommitStatus.LOST) if self.lose else reply
+        return CommitReply(CommitStatus.LOST) if self.lose_replies else reply
 
 
-def lease(table: MemoryTable, name: str, life: str = "1") -> Lease:
-    return Lease(table, Holder(NodeId(name), life), 1.0, Backoff(0.1, 1.0, random.Random(1)))
+def lease(table: MemoryTable, name: str, incarnation: str = "1") -> Lease:
+    return Lease(table, Holder(NodeId(name), incarnation), 1.0, Backoff(0.1, 1.0, random.Random(1)))
 
 
 class SilentTable(MemoryTable):
@@ -41,12 +41,12 @@
 
 
 class LeaseTests(testtools.TestCase):
-    def test_a_release_that_is_not_answered_is_not_waited_for(self) -> None:
+    def test_a_release_without_a_reply_is_not_waited_for(self) -> None:
         async def work() -> None:
             table = SilentTable()
             held = lease(table, "one")
             await held.observe(1.0)
-            self.assertTrue(await held.take(1.0))
+            self.assertTrue(await held.acquire(1.0))
             table.silent = True
             async with asyncio.timeout(8.0):
                 self.assertFalse(await held.release(2.0))
@@ -60,7 +60,7 @@
             one, other = lease(table, "one"), lease(table, "other")
             await one.observe(1.0)
             await other.observe(1.0)
-            self.assertEqual([True, False], [await one.take(1.0), await other.take(1.0)])
+            self.assertEqual([True, False], [await one.acquire(1.0), await other.acquire(1.0)])
 
         asyncio.run(work())
 
@@ -69,40 +69,46 @@
             table = MemoryTable()
             one, other = lease(table, "one"), lease(table, "other")
             await one.observe(1.0)
-            await one.take(1.0)
+            await one.acquire(1.0)
             await other.observe(1.5)
             await one.renew(2.0)
             await other.observe(2.6)
-            self.assertFalse(other.free(2.6, 1.0))
-            self.assertTrue(other.free(3.7, 1.0))
+            self.assertFalse(other.is_available(2.6, 1.0))
+            self.assertTrue(other.is_available(3.7, 1.0))
 
         asyncio.run(work())
 
-    def test_the_lease_of_a_life_that_has_ended_is_free_at_once(self) -> None:
+    def test_the_lease_of_an_ended_incarnation_is_free_at_once(self) -> None:
         async def work() -> None:
             table = MemoryTable()
-            one, again, other = lease(table, "one"), lease(table, "one", "2"), lease(table, "two")
+            one, restarted, other = (
+                lease(table, "one"),
+                lease(table, "one", "2"),
+                lease(table, "two"),
+            )
             await one.observe(1.0)
-            await one.take(1.0)
-            for each in (again, other):
+            await one.acquire(1.0)
+            for each in (restarted, other):
                 await each.observe(1.2)
-            self.assertEqual([True, False], [each.free(1.2, 1.0) for each in (again, other)])
-            other.note_alive(Holder(NodeId("one"), "2"))
-            self.assertTrue(other.free(1.2, 1.0))
+            self.assertEqual(
+                [True, False], [each.is_available(1.2, 1.0) for each in (restarted, other)]
+            )
+            other.record_incarnation(Holder(NodeId("one"), "2"))
+            self.assertTrue(other.is_available(1.2, 1.0))
 
         asyncio.run(work())
 
-    def test_the_lease_of_a_process_that_has_ended_is_free_until_it_speaks_again(self) -> None:
+    def test_the_lease_of_an_ended_process_is_free_until_it_is_seen_again(self) -> None:
         async def work() -> None:
             table = MemoryTable()
             one, other = lease(table, "one"), lease(table, "other")
             await one.observe(1.0)
-            await one.take(1.0)
+            await one.acquire(1.0)
             await other.observe(1.2)
-            other.note_ended(NodeId("one"))
-            self.assertTrue(other.free(1.2, 1.0))
-            other.note_alive(Holder(NodeId("one"), "1"))
-            self.assertFalse(other.free(1.2, 1.0))
+            other.record_ended(NodeId("one"))
+            self.assertTrue(other.is_available(1.2, 1.0))
+            other.record_incarnation(Holder(NodeId("one"), "1"))
+            self.assertFalse(other.is_available(1.2, 1.0))
 
         asyncio.run(work())
 
@@ -111,33 +117,33 @@
             table = MemoryTable()
             one, other = lease(table, "one"), lease(table, "other")
             await one.observe(1.0)
-            await one.take(1.0)
+            await one.acquire(1.0)
             await one.release(1.1)
             await other.observe(1.2)
-            self.assertTrue(other.free(1.2, 1.0))
+            self.assertTrue(other.is_available(1.2, 1.0))
 
         asyncio.run(work())
 
-    def test_an_answer_that_is_lost_is_settled_by_reading_back(self) -> None:
+    def test_a_lost_reply_is_resolved_by_reading_back(self) -> None:
         async def work() -> None:
             table = LossyTable()
             one = lease(table, "one")
             await one.observe(1.0)
-            table.lose = True
-            self.assertTrue(await one.take(1.0))
+            table.lose_replies = True
+            self.assertTrue(await one.acquire(1.0))
             await one.renew(2.0)
             self.assertTrue(one.held)
 
         asyncio.run(work())
 
-    def test_a_holder_that_slept_finds_its_lease_lost(self) -> None:
+    def test_a_suspended_holder_finds_its_lease_lost(self) -> None:
         async def work() -> None:
             table = MemoryTable()
             one, other = lease(table, "one"), lease(table, "other")
             await one.observe(1.0)
-            await one.take(1.0)
+            await one.acquire(1.0)
             await other.observe(1.2)
-            await other.take(5.0)
+            await other.acquire(5.0)
             await one.renew(6.0)
             self.assertEqual([False, True], [one.held, other.held])
 
@@ -148,10 +154,10 @@
             table = MemoryTable()
             one, other = lease(table, "one"), lease(table, "other")
             await one.observe(1.0)
-            await one.take(1.0)
+            await one.acquire(1.0)
             await one.renew(2.0)
             await other.observe(2.2)
-            await other.take(5.0)
-            self.assertGreater(other.taken_at, one.taken_at)
+            await other.acquire(5.0)
+            self.assertGreater(other.acquired_revision, one.acquired_revision)
 
         asyncio.run(work())
--- a/tests/direct/test_sendlimits.py
+++ b/tests/direct/test_sendlimits.py
@@ -284,7 +284,7 @@
                 entry.serving.apply(Configuration(Version(2), services=(service,)))
             holder = next(iter(world.entries.values()))
             holder.lease.state = LeaseState.HELD
-            holder.lease.taken_at = 1
+            holder.lease.acquired_revision = 1
             holder.lease.renewed_s = 1e9
             world.run(12.0)
             work(world)
--- a/tests/direct/test_sharing.py
+++ b/tests/direct/test_sharing.py
@@ -169,7 +169,7 @@
             one, other = list(world.entries.values())[:2]
             part = sharing(one, self.links, self.log)
             part.on_fleet_message(other.me.peer, UPDATE)
-            one.lease.state, one.lease.taken_at = LeaseState.HELD, 7
+            one.lease.state, one.lease.acquired_revision = LeaseState.HELD, 7
             part.publish()
             told = [each for _, each in self.links.sent if isinstance(each, FleetUpdate)]
             self.assertEqual({(7, (GROUP,))}, {(e.lease_revision, e.groups) for e in told})
@@ -180,7 +180,7 @@
     def test_a_new_holder_without_a_view_publishes_nothing(self) -> None:
         def work(world: SpreadWorld) -> None:
             one = next(iter(world.entries.values()))
-            one.lease.state, one.lease.taken_at = LeaseState.HELD, 7
+            one.lease.state, one.lease.acquired_revision = LeaseState.HELD, 7
             sharing(one, self.links, self.log).publish()
             self.assertEqual([], self.links.sent)
 
