--- a/packages/ochreway-direct/src/ochreway_direct/leases/__init__.py
+++ b/packages/ochreway-direct/src/ochreway_direct/leases/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The lease of the entry that forms groups."""
+"""Lease of the entry that forms groups."""
--- a/packages/ochreway-direct/src/ochreway_direct/leases/lease.py
+++ b/packages/ochreway-direct/src/ochreway_direct/leases/lease.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The lease of the one entry that forms groups: a row in the platform's table."""
+"""Lease of the one entry that forms groups, stored as a row in the platform's table."""
 
 import asyncio
 from dataclasses import dataclass
@@ -15,12 +15,12 @@
 
 LEASE_KEY = "lease/coordinator"
 RELEASE_TIMEOUT_S = 0.6
-"""How long a process that ends waits for its release to be written: many usual answers."""
+"""Maximum wait for the release to be written when a process ends; many usual response times."""
 
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """Name one life of a process."""
+    """Incarnation of a process."""
 
     node: NodeId
     incarnation: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRow:
-    """Hold who has the lease, as of which change; a released one may be taken at once."""
+    """Holder of the lease as of a change; a released lease can be acquired at once."""
 
     holder: Holder
     change: str
@@ -40,16 +40,16 @@
 
 
 class LeaseState(Enum):
-    """Say whether this process has the lease."""
+    """Whether this process holds the lease."""
 
     ABSENT = "absent"
     HELD = "held"
 
 
 class Lease:
-    """Take, renew and release the lease; every write requires the row as it was last seen.
+    """Acquire, renew and release the lease; each write requires the row as it was last read.
 
-    A write without an answer is settled by reading the change back, never by guessing.
+    If a write has no reply, its outcome is determined by reading the row back.
     """
 
     def __init__(self, table: Table, holder: Holder, renew_s: float, backoff: Backoff) -> None:
@@ -69,41 +69,41 @@
 
     @property
     def held(self) -> bool:
-        """Tell whether this process took the lease and has not seen it lost."""
+        """Return whether this process acquired the lease and has not observed its loss."""
         return self.state is LeaseState.HELD
 
     def due(self, now_s: float) -> bool:
-        """Tell whether the lease has to be renewed now."""
+        """Return whether the lease has to be renewed now."""
         return self.held and now_s >= max(self._retry_s, self.renewed_s + self._renew_s)
 
     def renew_at_once(self) -> None:
-        """Have the lease renewed at once, as an order was refused for a newer one's sake."""
+        """Make the renewal due at once, as an engine refused an order for a newer epoch."""
         self.renewed_s = 0.0
 
     def may_retry(self, now_s: float) -> bool:
-        """Tell whether the table may be asked again after its last failure."""
+        """Return whether the table may be accessed again after its last failure."""
         return now_s >= self._retry_s
 
     def record_revision(self, revision: int, now_s: float) -> None:
-        """Note a revision that its holder spoke of."""
+        """Record a revision that the lease holder announced."""
         if not self.held and revision > self.revision:
             self.revision = revision
             self.unchanged_since_s = now_s
 
     def record_incarnation(self, process: Holder) -> None:
-        """Note which life of another process speaks, as any former one has ended."""
+        """Record the current incarnation of another process; any former one has ended."""
         self._incarnations[process.node] = process.incarnation
 
     def record_ended(self, node: NodeId) -> None:
-        """Note that a process has ended, until one speaks under its name again."""
+        """Record that a process has ended, until one is seen under its name again."""
         self._incarnations[node] = ENDED_INCARNATION
 
     def _has_ended(self, holder: Holder) -> bool:
-        """Tell whether the holder is known to have ended, or a later life of it speaks."""
+        """Return whether the holder is known to have ended or to have a later incarnation."""
         return self._incarnations.get(holder.node, holder.incarnation) != holder.incarnation
 
     def is_available(self, now_s: float, takeover_delay_s: float) -> bool:
-        """Tell whether the lease may be taken: released, or not renewed for a while."""
+        """Return whether the lease may be acquired: released, ended, or unchanged for a while."""
         if not self.may_retry(now_s):
             return False
         if self.row is None or self.row.released or self._has_ended(self.row.holder):
@@ -128,7 +128,7 @@
         self.row = _decode_row(row)
 
     async def acquire(self, now_s: float) -> bool:
-        """Take the lease from the state last seen; return whether that was done."""
+        """Acquire the lease if the row is as last read; return whether it was acquired."""
         if not await self._write(released=False, now_s=now_s):
             return False
         self.state = LeaseState.HELD
@@ -136,14 +136,14 @@
         return True
 
     async def renew(self, now_s: float) -> None:
-        """Renew the lease, or find that it was lost."""
+        """Renew the lease, or observe that it was lost."""
         await self._write(released=False, now_s=now_s)
 
     async def release(self, now_s: float) -> bool:
-        """Give the lease back, so that another may take it at once; return whether that was done.
+        """Release the lease for others to acquire at once; return whether that was written.
 
-        A process that ends does not wait for a store that is silent: others take the lease once
-        its holder has been silent too.
+        A process that ends does not wait for a silent store: others acquire the lease once its
+        holder has been silent too.
         """
         if not self.held:
             return True
@@ -171,7 +171,7 @@
         return await self._resolve_lost_reply(change, now_s)
 
     async def _resolve_lost_reply(self, change: ChangeId, now_s: float) -> bool:
-        """Find out what became of a write whose answer did not come."""
+        """Read back the outcome of a write that had no reply."""
         self._retry_s = now_s + self._backoff.failed()
         try:
             rows = await self._table.read((LEASE_KEY,))
--- a/packages/ochreway-direct/src/ochreway_direct/leases/leasekeeper.py
+++ b/packages/ochreway-direct/src/ochreway_direct/leases/leasekeeper.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The task that takes the lease when nobody holds it, and renews it."""
+"""Task that acquires the lease when it has no holder, and renews it."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -14,18 +14,18 @@
 from ochreway_runtime.metrics import Metrics
 
 EPOCHS_PER_REVISION = 100_000
-"""How many groups one holder of the lease may form before epochs would meet the next one's."""
+"""Epochs that a holder may use; the next holder's epochs begin above these."""
 
 
 class LeaseKeeper:
-    """Keep the lease for this process, or be ready to take it.
+    """Hold the lease for this process, or acquire it when it becomes available.
 
     Args:
         spawn: runs a task until the process stops.
-        taken: is told the epoch above which groups may be formed now.
-        renewed: is told after each renewal, so that others hear of it at once.
-        speaks: tells whether this process is in touch with all others; one that is not lets
-            those that are take the lease first.
+        on_acquired: called with the epoch above which groups may be formed now.
+        on_renewed: called after each renewal, to announce it to others at once.
+        is_head: whether this process is in contact with all others. One that is not waits longer,
+            so that those that are acquire the lease first.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         self._observe_due_s = 0.0
 
     async def run(self) -> None:
-        """Renew or take the lease until cancelled."""
+        """Renew or acquire the lease until cancelled."""
         while True:
             await asyncio.sleep(self._timing.tick_s)
             now_s = self._loop.time()
@@ -68,7 +68,7 @@
                 await self._acquire(now_s)
 
     def on_link_down(self, node: NodeId) -> None:
-        """Find out whether the holder of the lease has ended, which its silence would tell late."""
+        """Check whether the lease holder has ended, which its silence alone would show late."""
         holder = self._peers.holder(self._loop.time())
         if holder is not None and holder.node == node:
             self._spawn(self._check_holder(holder))
@@ -97,7 +97,7 @@
         self._on_renewed()
 
     def _may_acquire(self, now_s: float) -> bool:
-        """Tell whether the lease looks free: no holder is heard, and others go first by name."""
+        """Return whether no holder is seen and this process's turn by rank has come."""
         if self._serving.routes is None or self._peers.holder(now_s) is not None:
             self._no_holder_since_s = now_s
             return False
@@ -109,10 +109,10 @@
         return now_s - self._no_holder_since_s >= wait_s
 
     def _takeover_delay_s(self) -> float:
-        """Return for how long the row has to stand unchanged to be taken from its holder.
+        """Return how long the row must be unchanged for the lease to be acquired from its holder.
 
-        One that was heard says so with each heartbeat. Of one that was never heard, as after
-        everything was restarted, only its renewals can tell that it lives.
+        A holder that was seen announces the lease with each heartbeat. If a holder was never seen,
+        as after a restart of all entries, only its renewals show that it runs.
         """
         row = self._lease.row
         was_seen = row is not None and self._peers.was_ever_seen(row.holder.node)
--- a/tests/direct/test_lease.py
+++ b/tests/direct/test_lease.py
@@ -12,7 +12,7 @@
 
 
 class LossyTable(MemoryTable):
-    """Do what is asked, and lose the answer when told to."""
+    """Commit transactions, and lose the replies if ``lose_replies`` is set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -28,7 +28,7 @@
 
 
 class SilentTable(MemoryTable):
-    """Never answer once told to be silent."""
+    """Never reply to a commit while ``silent`` is set."""
 
     def __init__(self) -> None:
         super().__init__()
