--- a/packages/ochreway-direct/src/ochreway_direct/drains/drainkeeper.py
+++ b/packages/ochreway-direct/src/ochreway_direct/drains/drainkeeper.py
@@ -20,8 +20,8 @@
         self,
         drains: HallDrains,
         fleet: Fleet,
-        planned: Callable[[frozenset[HallId]], None],
-        changed: Callable[[], None],
+        on_drained_halls: Callable[[frozenset[HallId]], None],
+        on_changed: Callable[[], None],
         log: EventLog,
         metrics: Metrics,
     ) -> None:
@@ -32,8 +32,8 @@
         """
         self._drains = drains
         self._fleet = fleet
-        self._planned = planned
-        self._changed = changed
+        self._on_drained_halls = on_drained_halls
+        self._on_changed = on_changed
         self._log = log
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
@@ -44,47 +44,47 @@
         """Tell whether this entry has learned which halls are drained, if any."""
         return self._drains.known
 
-    def read(self, reading: DrainedHalls, asked_s: float) -> None:
+    def on_store_reading(self, reading: DrainedHalls, requested_s: float) -> None:
         """Take what the store said to a question that was asked at a time."""
         before = self._drains.draining()
-        if self._drains.read(reading, asked_s):
-            self._note_change(before)
+        if self._drains.on_store_reading(reading, requested_s):
+            self._apply_change(before)
 
-    def hear(self, news: DrainNews, echo_s: float | None) -> None:
+    def on_drain_news(self, news: DrainNews, echo_s: float | None) -> None:
         """Take what another entry tells, which was known no earlier than what it echoes."""
         before = self._drains.draining()
         ages_s = news.unseen_age_s if echo_s is not None else {}
         unseen_s = {hall: (echo_s or 0.0) - age_s for hall, age_s in ages_s.items()}
         now_s = self._loop.time()
         left_s = {hall: self._drains.left_s(hall, now_s) for hall in before}
-        if self._drains.hear(news.drained, unseen_s):
-            self._note_change(before)
+        if self._drains.on_entry_reading(news.drained, unseen_s):
+            self._apply_change(before)
         elif any(self._drains.left_s(hall, now_s) > left_s[hall] for hall in before):
-            self._extend(now_s)
+            self._reopen_extended(now_s)
 
-    def _extend(self, now_s: float) -> None:
+    def _reopen_extended(self, now_s: float) -> None:
         """Open halls that have time left after all, and close each when that is over."""
         for hall in self._drains.draining():
-            self._close_after(hall, now_s)
+            self._schedule_close(hall, now_s)
         self.tick(now_s)
 
-    def news(self, now_s: float) -> DrainNews:
+    def current_news(self, now_s: float) -> DrainNews:
         """Return what to tell other entries."""
-        return DrainNews(self._drains.newest, self._drains.unseen_age_s(now_s))
+        return DrainNews(self._drains.latest, self._drains.unseen_age_s(now_s))
 
     def tick(self, now_s: float) -> None:
         """Close the halls whose time has passed, and open those that were given back."""
         closed = self._drains.closed(now_s)
         if closed == self._closed:
             return
-        version = self._drains.newest.version
+        version = self._drains.latest.version
         for hall in sorted(closed - self._closed):
             self._metrics.count("hall.closed")
             self._log.event("hall_closed", hall=hall, version=version)
         self._closed = closed
         self._fleet.set_closed_halls(closed)
 
-    def _close_due(self) -> None:
+    def _on_close_due(self) -> None:
         self.tick(self._loop.time())
 
     def gauges(self) -> dict[str, float]:
@@ -92,29 +92,29 @@
         draining = self._drains.draining()
         return {"halls_draining": float(len(draining)), "halls_closed": float(len(self._closed))}
 
-    def _close_after(self, hall: HallId, now_s: float) -> None:
+    def _schedule_close(self, hall: HallId, now_s: float) -> None:
         """Close a hall as its time ends.
 
         After a pause of this process a tick of the timer may come after the first requests.
         """
-        self._loop.call_at(now_s + self._drains.left_s(hall, now_s), self._close_due)
+        self._loop.call_at(now_s + self._drains.left_s(hall, now_s), self._on_close_due)
 
-    def _note_change(self, before: frozenset[HallId]) -> None:
+    def _apply_change(self, before: frozenset[HallId]) -> None:
         """Tell of halls that were drained or given back, and act on it."""
         now_s = self._loop.time()
-        version = self._drains.newest.version
+        version = self._drains.latest.version
         draining = self._drains.draining()
         for hall in sorted(draining - before):
             left_s = self._drains.left_s(hall, now_s)
             self._metrics.count("hall.draining")
             self._log.event("hall_draining", hall=hall, version=version, left_s=round(left_s, 3))
-            self._close_after(hall, now_s)
+            self._schedule_close(hall, now_s)
         for hall in sorted(before - draining):
             self._metrics.count("hall.restored")
             self._log.event("hall_restored", hall=hall, version=version)
-        self._planned(draining)
+        self._on_drained_halls(draining)
         self.tick(now_s)
-        self._changed()
+        self._on_changed()
 
 
 __all__ = ["DrainKeeper"]
--- a/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
@@ -213,7 +213,7 @@
             coverage=coverage,
             work=self._work_for(peer.node, coverage, own),
             entries=entries,
-            drains=self._drains.news(now_s),
+            drains=self._drains.current_news(now_s),
             loan=self._loans.lend(peer.node, now_s) if self._loans is not None else None,
             pool=self._limits.news_for(peer.node, now_s) if self._limits else NO_POOL_NEWS,
         )
@@ -276,7 +276,7 @@
                 *(sender.node, heartbeat.coverage, heartbeat.cell, covered, heartbeat.work, now_s)
             )
         # Halls first: a version must not be applied before the drained halls are known.
-        self._drains.hear(heartbeat.drains, self._valid_echo_s(heartbeat, now_s))
+        self._drains.on_drain_news(heartbeat.drains, self._valid_echo_s(heartbeat, now_s))
         if self._loans is not None:
             self._loans.borrow(heartbeat.loan, self._valid_echo_s(heartbeat, now_s), now_s)
         if self._limits is not None:
--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -230,7 +230,7 @@
             self._backoff(timing),
             self._versions.poll_wait_s,
             self._versions.on_applied,
-            self._drains.read,
+            self._drains.on_store_reading,
             log,
             metrics,
         )
--- a/packages/ochreway-direct/src/ochreway_direct/halls/homecheck.py
+++ b/packages/ochreway-direct/src/ochreway_direct/halls/homecheck.py
@@ -22,7 +22,7 @@
         self._targets = targets
         self._log = log
         self.unknown_halls: frozenset[HallId] = frozenset()
-        self._told_regions: frozenset[RegionId] = frozenset()
+        self._reported_regions: frozenset[RegionId] = frozenset()
 
     def check(self, _: float) -> None:
         """Compare the homes in force and the halls listed with the regions that are known."""
@@ -30,14 +30,14 @@
         if routes is None or not routes.homes:
             return
         homes = self._serving.homes
-        empty = homes.without_halls(routes.homes)
-        for region in sorted(empty - self._told_regions):
+        regions_without_halls = homes.without_halls(routes.homes)
+        for region in sorted(regions_without_halls - self._reported_regions):
             self._log.event("home_without_hall", region=region, version=routes.version)
-        self._told_regions |= empty
-        unknown = frozenset(each.hall for each in self._targets()) - homes.known
-        for hall in sorted(unknown - self.unknown_halls):
+        self._reported_regions |= regions_without_halls
+        halls_without_region = frozenset(each.hall for each in self._targets()) - homes.known
+        for hall in sorted(halls_without_region - self.unknown_halls):
             self._log.event("hall_region_unknown", hall=hall, version=routes.version)
-        self.unknown_halls |= unknown
+        self.unknown_halls |= halls_without_region
 
 
 __all__ = ["HomeCheck"]
--- a/packages/ochreway-direct/src/ochreway_direct/halls/homes.py
+++ b/packages/ochreway-direct/src/ochreway_direct/halls/homes.py
@@ -26,16 +26,16 @@
         Where both a route and an organisation have homes, both bind.
         """
         if not route:
-            return self._of(organisation) if organisation else None
+            return self._halls_of(organisation) if organisation else None
         if not organisation:
-            return self._of(route)
-        return self._of(route) & self._of(organisation)
+            return self._halls_of(route)
+        return self._halls_of(route) & self._halls_of(organisation)
 
     def without_halls(self, regions: Collection[RegionId]) -> frozenset[RegionId]:
         """Return those of some regions in which no hall is known."""
         return frozenset(regions) - self._halls.keys()
 
-    def _of(self, regions: Collection[RegionId]) -> frozenset[HallId]:
+    def _halls_of(self, regions: Collection[RegionId]) -> frozenset[HallId]:
         return frozenset().union(*(self._halls.get(each, ()) for each in regions))
 
 
--- a/tests/direct/test_drainspread.py
+++ b/tests/direct/test_drainspread.py
@@ -28,7 +28,7 @@
             world = SpreadWorld(loop, entries, 5)
             world.run(SETTLE_S)
             for entry in world.entries.values():
-                entry.drains.read(DrainedHalls(5), world.now_s)
+                entry.drains.on_store_reading(DrainedHalls(5), world.now_s)
             work(world)
 
         virtually(run)
@@ -39,8 +39,8 @@
     def drain(self, world: SpreadWorld) -> None:
         """Let one entry read the store before and after a hall is drained."""
         keeper = self.first(world).drains
-        keeper.read(DrainedHalls(5), world.now_s)
-        keeper.read(DrainedHalls(6, (DRAINED,)), world.now_s)
+        keeper.on_store_reading(DrainedHalls(5), world.now_s)
+        keeper.on_store_reading(DrainedHalls(6, (DRAINED,)), world.now_s)
 
     def entries_aware(self, world: SpreadWorld) -> list[NodeId]:
         return [n for n, e in world.entries.items() if e.drains.gauges()["halls_draining"]]
@@ -53,7 +53,7 @@
 
             def work(world: SpreadWorld) -> None:
                 read_s = world.now_s
-                self.first(world).drains.read(DrainedHalls(6, (DRAINED,)), world.now_s)
+                self.first(world).drains.on_store_reading(DrainedHalls(6, (DRAINED,)), world.now_s)
                 world.run(PROPAGATION_S)
                 self.assertEqual(len(world.entries), len(self.entries_aware(world)))
                 self.assertEqual([], self.closed(world))
@@ -65,9 +65,9 @@
     def test_the_end_of_a_drain_reaches_all(self) -> None:
         def work(world: SpreadWorld) -> None:
             first = self.first(world)
-            first.drains.read(DrainedHalls(6, (DRAINED,)), world.now_s)
+            first.drains.on_store_reading(DrainedHalls(6, (DRAINED,)), world.now_s)
             world.run(HALL_DRAIN_S)
-            first.drains.read(DrainedHalls(7), world.now_s)
+            first.drains.on_store_reading(DrainedHalls(7), world.now_s)
             world.run(PROPAGATION_S)
             self.assertEqual(([], []), (self.entries_aware(world), self.closed(world)))
 
@@ -94,7 +94,7 @@
         def work(world: SpreadWorld) -> None:
             isolated = list(world.entries)[-1]
             world.cut = lambda sender, receiver: isolated in (sender, receiver)
-            self.first(world).drains.read(DrainedHalls(6, (DRAINED,)), world.now_s)
+            self.first(world).drains.on_store_reading(DrainedHalls(6, (DRAINED,)), world.now_s)
             world.run(HALL_DRAIN_S + 1.0)
             self.assertNotIn(isolated, self.entries_aware(world))
             world.cut = lambda sender, receiver: False
@@ -108,7 +108,7 @@
     ) -> None:
         def work(world: SpreadWorld) -> None:
             first = self.first(world)
-            first.drains.read(DrainedHalls(6, (DRAINED,)), world.now_s)
+            first.drains.on_store_reading(DrainedHalls(6, (DRAINED,)), world.now_s)
             world.run(HALL_DRAIN_S)
             node, former = list(world.entries.items())[-1]
             world.entries[node] = again = SpreadEntry(world, former.me, (), 24)
--- a/tests/direct/test_homes.py
+++ b/tests/direct/test_homes.py
@@ -49,15 +49,15 @@
 Writer = asyncio.StreamWriter
 
 
-async def good(headers: Headers, writer: Writer) -> None:
+async def answer_fine(headers: Headers, writer: Writer) -> None:
     writer.write(complete_response(headers, "fine"))
 
 
-async def cut(headers: Headers, writer: Writer) -> None:
+async def drop_connection(headers: Headers, writer: Writer) -> None:
     writer.close()
 
 
-async def full(headers: Headers, writer: Writer) -> None:
+async def refuse_as_busy(headers: Headers, writer: Writer) -> None:
     writer.write(complete_response(headers, "", "503 Busy", "Not-Run: 1\r\n"))
 
 
@@ -69,16 +69,16 @@
     def test_without_homes_any_hall_may_serve(self) -> None:
         self.assertIsNone(self.homes.halls((), ()))
 
-    def test_the_homes_of_either_bind_and_of_both_both_do(self) -> None:
+    def test_homes_of_a_route_and_of_an_organisation_both_bind(self) -> None:
         self.assertEqual({E1, E2}, self.homes.halls((EAST,), ()))
         self.assertEqual({W1}, self.homes.halls((), (WEST,)))
         self.assertEqual({W1}, self.homes.halls((EAST, WEST), (WEST, SOUTH)))
 
-    def test_what_leaves_no_home_leaves_no_hall_rather_than_any(self) -> None:
+    def test_contradicting_or_unknown_homes_leave_no_hall(self) -> None:
         for route, organisation in (((EAST,), (WEST,)), ((SOUTH,), ()), ((), (SOUTH,))):
             self.assertEqual(frozenset(), self.homes.halls(route, organisation))
 
-    def test_the_own_region_is_that_of_the_own_hall_unless_all_halls_say_otherwise(self) -> None:
+    def test_the_region_setting_applies_to_the_own_hall_unless_hall_regions_are_set(self) -> None:
         addresses = ("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "http://127.0.0.1:4")
         own = DirectSettings("n", "e1", "a", *addresses, region="east")
         self.assertEqual({E1: EAST}, own.region_of)
@@ -98,11 +98,11 @@
             *(GroupId(name), Epoch(1), SERVICE, LARGE.name, leader, "x:1", hall), halls=halls
         )
 
-    def chosen(self, within: frozenset[HallId] | None) -> str | None:
-        found = self.fleet.pick_group(SERVICE, LARGE.name, (), SPEC, QUEUED, within=within)
-        return found.group if found is not None else None
+    def pick_group_within(self, within: frozenset[HallId] | None) -> str | None:
+        picked = self.fleet.pick_group(SERVICE, LARGE.name, (), SPEC, QUEUED, within=within)
+        return picked.group if picked is not None else None
 
-    def test_a_group_is_within_reach_only_with_all_its_members(self) -> None:
+    def test_a_group_is_eligible_only_with_all_its_members(self) -> None:
         groups = (self.group("east", E1), self.group("across", E1, W1), self.group("both", E1, E2))
         self.fleet.set_groups(groups)
         places = self.fleet.eligible_groups(SERVICE, LARGE.name, frozenset((E1, E2)))
@@ -112,30 +112,30 @@
         )
         self.assertEqual(3, len(self.fleet.eligible_groups(SERVICE, LARGE.name)))
 
-    def test_what_is_outside_is_chosen_neither_when_idle_nor_alone(self) -> None:
+    def test_a_group_outside_is_not_chosen_even_if_idle_or_alone(self) -> None:
         near, far = self.group("near", E1), self.group("far", W1)
         self.fleet.set_groups((near, far))
         for _ in range(100):
-            self.assertEqual("far", self.chosen(frozenset((W1,))))
+            self.assertEqual("far", self.pick_group_within(frozenset((W1,))))
         self.fleet.set_groups((near,))
-        self.assertIsNone(self.chosen(frozenset((W1,))))
+        self.assertIsNone(self.pick_group_within(frozenset((W1,))))
         self.assertFalse(self.fleet.has_group(SERVICE, LARGE.name, frozenset((W1,))))
-        self.assertEqual("near", self.chosen(None))
+        self.assertEqual("near", self.pick_group_within(None))
 
     def test_a_drained_home_is_closed_too(self) -> None:
         self.fleet.set_groups((self.group("one", E1), self.group("other", E2)))
         self.fleet.set_closed_halls(frozenset((E1,)))
         for _ in range(20):
-            self.assertEqual("other", self.chosen(frozenset((E1, E2))))
-        self.assertIsNone(self.chosen(frozenset((E1,))))
+            self.assertEqual("other", self.pick_group_within(frozenset((E1, E2))))
+        self.assertIsNone(self.pick_group_within(frozenset((E1,))))
 
     def test_a_plain_target_outside_is_not_chosen(self) -> None:
         halls = {"near": E1, "far": W1, "nowhere": NOWHERE}
         targets = [ListedTarget(InstanceId(n), SERVICE, "x:1", h) for n, h in halls.items()]
         self.fleet.set_targets(targets)
         for _ in range(100):
-            found = self.fleet.pick_target(SERVICE, (), frozenset((W1,)))
-            self.assertEqual("far", found and found.instance)
+            target = self.fleet.pick_target(SERVICE, (), frozenset((W1,)))
+            self.assertEqual("far", target and target.instance)
         self.assertIsNone(self.fleet.pick_target(SERVICE, ("far",), frozenset((W1,))))
 
 
@@ -161,10 +161,10 @@
             self.member("h", 0, E2, MemberPhase.OPEN),
             self.member("i", 0, NOWHERE, MemberPhase.READY),
         )
-        heard, read = FleetView(1.0), FleetView(1.0)
-        heard.merge_engines(listed)
-        read.apply_list(listed, 10.0, 10.0, NEVER_S)
-        for view in (heard, read):
+        merged, listed_view = FleetView(1.0), FleetView(1.0)
+        merged.merge_engines(listed)
+        listed_view.apply_list(listed, 10.0, 10.0, NEVER_S)
+        for view in (merged, listed_view):
             halls = {each.group: (each.hall, each.halls) for each in view.groups(10.0)}
             self.assertEqual({"g": (E1, (E1, W1)), "h": (E2, (E2,))}, halls)
 
@@ -174,7 +174,7 @@
         return ListedTarget(InstanceId(f"{group}{rank}"), SERVICE, "x:1", hall, engine=state)
 
 
-class BoundCase(RelayCase):
+class HomesRelayCase(RelayCase):
     """A relay with targets in given halls, and homes of a route and of an organisation."""
 
     route_homes: tuple[RegionId, ...] = ()
@@ -186,7 +186,7 @@
         ann = replace(plain.organisations[0], homes=self.organisation_homes)
         return replace(plain, routes=(route,), organisations=(ann,))
 
-    def place(self, running: RunningRelay, *halls: HallId) -> None:
+    def assign_halls(self, running: RunningRelay, *halls: HallId) -> None:
         """Put the targets in halls, in their order."""
         running.serving.homes = Homes(REGION_OF)
         fleet = running.fleet
@@ -195,142 +195,142 @@
         targets = zip(fleet._targets.values(), halls, strict=True)
         fleet.set_targets([replace(each, hall=hall) for each, hall in targets])
 
-    def seen(self, running: RunningRelay) -> list[int]:
+    def requests_per_target(self, running: RunningRelay) -> list[int]:
         return [len(each.seen) for each in running.targets]
 
 
-class RouteHomesTests(BoundCase):
+class RouteHomesTests(HomesRelayCase):
     route_homes = (EAST,)
 
     def test_a_repeat_goes_to_the_other_home_never_outside(self) -> None:
-        for script in (cut, full):
+        for failing_target in (drop_connection, refuse_as_busy):
 
             async def work(running: RunningRelay) -> None:
-                self.place(running, W1, E1, NOWHERE, E2)
+                self.assign_halls(running, W1, E1, NOWHERE, E2)
                 for number in range(6):
                     answer = await running.send_request(Request=f"r{number}")
                     self.assertEqual((200, b"fine"), (answer.status, answer.body))
-                self.assertEqual([0, 0], self.seen(running)[::2])
-                self.assertEqual(6, self.seen(running)[3])
+                self.assertEqual([0, 0], self.requests_per_target(running)[::2])
+                self.assertEqual(6, self.requests_per_target(running)[3])
 
-            self.run_with_relay(work, good, script, good, good)
+            self.run_with_relay(work, answer_fine, failing_target, answer_fine, answer_fine)
 
-    def test_with_the_only_home_failing_nothing_outside_is_asked(self) -> None:
+    def test_with_the_only_home_failing_no_target_outside_is_used(self) -> None:
         async def work(running: RunningRelay) -> None:
-            self.place(running, W1, E1, NOWHERE)
+            self.assign_halls(running, W1, E1, NOWHERE)
             self.assertEqual(502, (await running.send_request()).status)
-            self.assertEqual([0, 2, 0], self.seen(running))
+            self.assertEqual([0, 2, 0], self.requests_per_target(running))
 
-        self.run_with_relay(work, good, cut, good)
+        self.run_with_relay(work, answer_fine, drop_connection, answer_fine)
 
-    def test_a_home_that_has_halls_but_no_target_is_waited_for_and_refused_as_any(self) -> None:
+    def test_a_home_without_targets_is_waited_for_and_then_refused(self) -> None:
         async def work(running: RunningRelay) -> None:
-            self.place(running, W1, NOWHERE)
+            self.assign_halls(running, W1, NOWHERE)
             answer = await running.send_request()
             self.assertEqual((503, b"no_group\n"), (answer.status, answer.body))
-            self.assertEqual([0, 0], self.seen(running))
+            self.assertEqual([0, 0], self.requests_per_target(running))
 
-        self.run_with_relay(work, good, good)
+        self.run_with_relay(work, answer_fine, answer_fine)
 
-    def test_without_any_known_hall_it_is_refused_at_once_and_counted(self) -> None:
+    def test_a_home_without_halls_is_refused_at_once_and_counted(self) -> None:
         async def work(running: RunningRelay) -> None:
-            self.place(running, W1, E1)
+            self.assign_halls(running, W1, E1)
             running.serving.homes = Homes({W1: WEST})
             answer = await running.send_request()
             self.assertEqual((503, b"no_home\n"), (answer.status, answer.body))
             self.assertGreater(float(answer.headers["Retry-After"]), 0.0)
-            self.assertEqual([0, 0], self.seen(running))
+            self.assertEqual([0, 0], self.requests_per_target(running))
             self.assertEqual(1, running.metrics.counters["refused.no_home"])
 
-        self.run_with_relay(work, good, good)
+        self.run_with_relay(work, answer_fine, answer_fine)
 
 
-class ResumedWithinHomesTests(BoundCase):
+class ResumedWithinHomesTests(HomesRelayCase):
     kind = RouteKind.STREAM
     resumable = True
     attempts = 3
     route_homes = (EAST,)
 
-    def test_a_broken_stream_goes_on_at_the_other_home(self) -> None:
-        async def breaks(headers: Headers, writer: Writer) -> None:
+    def test_a_broken_stream_is_resumed_at_the_other_home(self) -> None:
+        async def break_stream(headers: Headers, writer: Writer) -> None:
             writer.write(stream_response_head(headers) + event_chunk(1))
             await writer.drain()
             await asyncio.sleep(0.05)
             writer.close()
 
-        async def goes_on(headers: Headers, writer: Writer) -> None:
+        async def resume_stream(headers: Headers, writer: Writer) -> None:
             begin = int(headers.get("after", 0)) + 1
             pieces = b"".join(event_chunk(number) for number in range(begin, 4))
             writer.write(stream_response_head(headers) + pieces + LAST_CHUNK)
 
         async def work(running: RunningRelay) -> None:
-            self.place(running, E1, W1, E2)
+            self.assign_halls(running, E1, W1, E2)
             answer = await running.send_request()
             self.assertEqual((False, 3), (answer.broken, answer.body.count(b"data:")))
-            self.assertEqual([1, 0, 1], self.seen(running))
+            self.assertEqual([1, 0, 1], self.requests_per_target(running))
 
-        self.run_with_relay(work, breaks, goes_on, goes_on)
+        self.run_with_relay(work, break_stream, resume_stream, resume_stream)
 
-    def test_with_no_other_home_it_ends_broken_rather_than_go_outside(self) -> None:
-        async def breaks(headers: Headers, writer: Writer) -> None:
+    def test_without_another_home_a_broken_stream_is_not_resumed_outside(self) -> None:
+        async def break_stream(headers: Headers, writer: Writer) -> None:
             writer.write(stream_response_head(headers) + event_chunk(1))
             await writer.drain()
             await asyncio.sleep(0.05)
             writer.close()
 
         async def work(running: RunningRelay) -> None:
-            self.place(running, E1, W1)
+            self.assign_halls(running, E1, W1)
             self.assertTrue((await running.send_request()).broken)
-            self.assertEqual([1, 0], self.seen(running))
+            self.assertEqual([1, 0], self.requests_per_target(running))
 
-        self.run_with_relay(work, breaks, good)
+        self.run_with_relay(work, break_stream, answer_fine)
 
 
-class OrganisationHomesTests(BoundCase):
+class OrganisationHomesTests(HomesRelayCase):
     organisation_homes = (WEST,)
 
     def test_an_organisation_is_served_at_its_home_alone(self) -> None:
         async def work(running: RunningRelay) -> None:
-            self.place(running, E1, W1)
+            self.assign_halls(running, E1, W1)
             for number in range(6):
                 self.assertEqual(200, (await running.send_request(Request=f"r{number}")).status)
-            self.assertEqual([0, 6], self.seen(running))
+            self.assertEqual([0, 6], self.requests_per_target(running))
 
-        self.run_with_relay(work, good, good)
+        self.run_with_relay(work, answer_fine, answer_fine)
 
 
-class BothBindTests(BoundCase):
+class BothBindTests(HomesRelayCase):
     route_homes = (EAST, WEST)
     organisation_homes = (WEST, SOUTH)
 
-    def test_what_both_allow_serves(self) -> None:
+    def test_only_halls_that_both_allow_serve(self) -> None:
         async def work(running: RunningRelay) -> None:
-            self.place(running, E1, W1)
+            self.assign_halls(running, E1, W1)
             for number in range(6):
                 self.assertEqual(200, (await running.send_request(Request=f"r{number}")).status)
-            self.assertEqual([0, 6], self.seen(running))
+            self.assertEqual([0, 6], self.requests_per_target(running))
 
-        self.run_with_relay(work, good, good)
+        self.run_with_relay(work, answer_fine, answer_fine)
 
 
-class ContradictionTests(BoundCase):
+class ContradictionTests(HomesRelayCase):
     kind = RouteKind.UNSAFE
     tuning = RelayTuning(max_wait_share=5.0)
     route_homes = (EAST,)
     organisation_homes = (WEST,)
 
-    def test_what_no_region_may_serve_is_refused_at_once_as_not_run(self) -> None:
+    def test_a_request_that_no_region_may_serve_is_refused_at_once_as_not_run(self) -> None:
         async def work(running: RunningRelay) -> None:
-            self.place(running, E1, W1)
+            self.assign_halls(running, E1, W1)
             loop = asyncio.get_running_loop()
             begun_s = loop.time()
             answer = await running.send_request()
             self.assertEqual((503, b"no_home\n"), (answer.status, answer.body))
             patience_s = self.tuning.max_wait_share * self.configuration().routes[0].objective_s
             self.assertLess(loop.time() - begun_s, patience_s / 4)
-            self.assertEqual([0, 0], self.seen(running))
+            self.assertEqual([0, 0], self.requests_per_target(running))
 
-        self.run_with_relay(work, good, good)
+        self.run_with_relay(work, answer_fine, answer_fine)
 
 
 class HomeCheckTests(testtools.TestCase):
@@ -342,13 +342,13 @@
             ListedTarget(InstanceId(hall), SERVICE, "x:1", hall) for hall in (E1, W1, NOWHERE)
         ]
 
-    def lines(self, *configurations: Configuration) -> list[str]:
+    def logged_events(self, *configurations: Configuration) -> list[str]:
         """Return what is told of configurations, each checked twice."""
-        told: list[str] = []
+        events: list[str] = []
 
         class Log(EventLog):
             def event(self, name: str, **fields: object) -> None:
-                told.append(f"{name} {fields.get('hall', '')}{fields.get('region', '')}")
+                events.append(f"{name} {fields.get('hall', '')}{fields.get('region', '')}")
 
         check = HomeCheck(self.serving, lambda: self.targets, Log("entry", "e", "info"))
         for each in configurations:
@@ -356,16 +356,20 @@
             check.check(0.0)
             check.check(1.0)
         self.unknown = check.unknown_halls
-        return told
+        return events
 
-    def named(self, version: int, *homes: RegionId) -> Configuration:
+    def configuration_with(self, version: int, *homes: RegionId) -> Configuration:
         ann = Organisation(OrganisationId("ann"), ("k",), homes=homes)
         return Configuration(Version(version), organisations=(ann,))
 
-    def test_without_homes_nothing_is_told(self) -> None:
-        self.assertEqual([], self.lines(self.named(1)))
+    def test_without_homes_nothing_is_logged(self) -> None:
+        self.assertEqual([], self.logged_events(self.configuration_with(1)))
 
-    def test_an_unknown_hall_and_an_empty_home_are_each_told_once(self) -> None:
-        told = self.lines(self.named(1, EAST), self.named(2, EAST, SOUTH), self.named(3, SOUTH))
-        self.assertEqual(["hall_region_unknown n1", "home_without_hall south"], told)
+    def test_an_unknown_hall_and_an_empty_home_are_each_logged_once(self) -> None:
+        events = self.logged_events(
+            self.configuration_with(1, EAST),
+            self.configuration_with(2, EAST, SOUTH),
+            self.configuration_with(3, SOUTH),
+        )
+        self.assertEqual(["hall_region_unknown n1", "home_without_hall south"], events)
         self.assertEqual({NOWHERE}, self.unknown)
--- a/tests/runtime/test_steadyloop.py
+++ b/tests/runtime/test_steadyloop.py
@@ -69,8 +69,8 @@
         async def work(clock: Clock) -> None:
             loop = asyncio.get_running_loop()
             drains, hall = HallDrains(5.0), HallId("h")
-            drains.read(DrainedHalls(Version(1), ()), loop.time())
-            drains.read(DrainedHalls(Version(2), (hall,)), loop.time())
+            drains.on_store_reading(DrainedHalls(Version(1), ()), loop.time())
+            drains.on_store_reading(DrainedHalls(Version(2), (hall,)), loop.time())
             self.assertEqual(frozenset(), drains.closed(loop.time()))
             clock.suspended_s += SUSPENDED_S
             self.assertEqual({hall}, drains.closed(loop.time()))
