--- a/packages/ochreway-direct/src/ochreway_direct/drains/__init__.py
+++ b/packages/ochreway-direct/src/ochreway_direct/drains/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Halls that are drained: which, since when, and who has to know it."""
+"""State, timing and propagation of hall drains."""
--- a/packages/ochreway-direct/src/ochreway_direct/drains/drainkeeper.py
+++ b/packages/ochreway-direct/src/ochreway_direct/drains/drainkeeper.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Learning which halls are drained, passing it on, and applying it to this entry."""
+"""Updates of the drained halls, their propagation, and their effect on this entry."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class DrainKeeper:
-    """Close drained halls in time, and have groups formed elsewhere as soon as a drain is known."""
+    """Close drained halls in time, and have their groups replaced as soon as a drain is known."""
 
     def __init__(
         self,
@@ -25,10 +25,10 @@
         log: EventLog,
         metrics: Metrics,
     ) -> None:
-        """Start with the parts given.
+        """Start with the given parts.
 
-        ``planned`` is told which halls nothing is to be planned for; ``changed`` is called after
-        that, so that others hear of it at once.
+        ``on_drained_halls`` is called with the halls that planning leaves out; ``on_changed`` is
+        called after that, to announce the change to other entries at once.
         """
         self._drains = drains
         self._fleet = fleet
@@ -41,17 +41,20 @@
 
     @property
     def known(self) -> bool:
-        """Tell whether this entry has learned which halls are drained, if any."""
+        """Return whether this entry has read which halls are drained, if any."""
         return self._drains.known
 
     def on_store_reading(self, reading: DrainedHalls, requested_s: float) -> None:
-        """Take what the store said to a question that was asked at a time."""
+        """Apply a reading of the store that was requested at ``requested_s``."""
         before = self._drains.draining()
         if self._drains.on_store_reading(reading, requested_s):
             self._apply_change(before)
 
     def on_drain_news(self, news: DrainNews, echo_s: float | None) -> None:
-        """Take what another entry tells, which was known no earlier than what it echoes."""
+        """Apply another entry's reading, sent at ``echo_s`` on this entry's clock at the earliest.
+
+        Its ages therefore count back from then; without an echo they bound nothing.
+        """
         before = self._drains.draining()
         ages_s = news.unseen_age_s if echo_s is not None else {}
         unseen_s = {hall: (echo_s or 0.0) - age_s for hall, age_s in ages_s.items()}
@@ -63,17 +66,17 @@
             self._reopen_extended(now_s)
 
     def _reopen_extended(self, now_s: float) -> None:
-        """Open halls that have time left after all, and close each when that is over."""
+        """Reopen halls whose bound was extended, and close each when it ends."""
         for hall in self._drains.draining():
             self._schedule_close(hall, now_s)
         self.tick(now_s)
 
     def current_news(self, now_s: float) -> DrainNews:
-        """Return what to tell other entries."""
+        """Return the message for other entries."""
         return DrainNews(self._drains.latest, self._drains.unseen_age_s(now_s))
 
     def tick(self, now_s: float) -> None:
-        """Close the halls whose time has passed, and open those that were given back."""
+        """Close halls whose time is over, and open restored ones."""
         closed = self._drains.closed(now_s)
         if closed == self._closed:
             return
@@ -88,19 +91,19 @@
         self.tick(self._loop.time())
 
     def gauges(self) -> dict[str, float]:
-        """Return how many halls are drained, and how many of them get nothing any more."""
+        """Return the number of drained halls and of those that are closed."""
         draining = self._drains.draining()
         return {"halls_draining": float(len(draining)), "halls_closed": float(len(self._closed))}
 
     def _schedule_close(self, hall: HallId, now_s: float) -> None:
-        """Close a hall as its time ends.
+        """Schedule the closing of a hall at the end of its time.
 
-        After a pause of this process a tick of the timer may come after the first requests.
+        After a pause of this process, the next tick may come only after the first requests.
         """
         self._loop.call_at(now_s + self._drains.left_s(hall, now_s), self._on_close_due)
 
     def _apply_change(self, before: frozenset[HallId]) -> None:
-        """Tell of halls that were drained or given back, and act on it."""
+        """Log and apply a change of the drained halls."""
         now_s = self._loop.time()
         version = self._drains.latest.version
         draining = self._drains.draining()
--- a/packages/ochreway-direct/src/ochreway_direct/halls/__init__.py
+++ b/packages/ochreway-direct/src/ochreway_direct/halls/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Halls and the regions that calls are bound to."""
+"""Halls and the home regions that restrict where calls are served."""
--- a/packages/ochreway-direct/src/ochreway_direct/halls/homecheck.py
+++ b/packages/ochreway-direct/src/ochreway_direct/halls/homecheck.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Telling in the log which homes cannot be kept to by what is known."""
+"""Log events for home regions that cannot be resolved to halls."""
 
 from collections.abc import Callable, Iterable
 
@@ -10,9 +10,9 @@
 
 
 class HomeCheck:
-    """Name each hall without a region and each home without a hall once.
+    """Log each hall without a region and each home region without a hall once.
 
-    Nothing is looked at while the configuration in force names no homes.
+    Nothing is checked while the current configuration has no homes.
     """
 
     def __init__(
@@ -25,7 +25,7 @@
         self._reported_regions: frozenset[RegionId] = frozenset()
 
     def check(self, _: float) -> None:
-        """Compare the homes in force and the halls listed with the regions that are known."""
+        """Compare the configured homes and the listed halls with the known regions."""
         routes = self._serving.routes
         if routes is None or not routes.homes:
             return
--- a/packages/ochreway-direct/src/ochreway_direct/halls/homes.py
+++ b/packages/ochreway-direct/src/ochreway_direct/halls/homes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""In which halls a request may be served."""
+"""Halls in which a request may be served."""
 
 from collections import defaultdict
 from collections.abc import Collection, Mapping
@@ -8,10 +8,10 @@
 
 
 class Homes:
-    """Turn the home regions of a route and of an organisation into halls."""
+    """Resolve the home regions of a route and of an organisation to halls."""
 
     def __init__(self, region_of: Mapping[HallId, RegionId]) -> None:
-        """Start with the region of each hall that is known; any other hall is no home."""
+        """Start with the region of each known hall; any other hall is outside all homes."""
         self.known = frozenset(region_of)
         by_region: dict[RegionId, set[HallId]] = defaultdict(set)
         for hall, region in region_of.items():
@@ -21,9 +21,9 @@
     def halls(
         self, route: Collection[RegionId], organisation: Collection[RegionId]
     ) -> frozenset[HallId] | None:
-        """Return the halls that may serve a request, or None when any may.
+        """Return the halls that may serve a request, or None if any may.
 
-        Where both a route and an organisation have homes, both bind.
+        If both a route and an organisation have homes, both restrict the halls.
         """
         if not route:
             return self._halls_of(organisation) if organisation else None
@@ -32,7 +32,7 @@
         return self._halls_of(route) & self._halls_of(organisation)
 
     def without_halls(self, regions: Collection[RegionId]) -> frozenset[RegionId]:
-        """Return those of some regions in which no hall is known."""
+        """Return those of the given regions that have no known hall."""
         return frozenset(regions) - self._halls.keys()
 
     def _halls_of(self, regions: Collection[RegionId]) -> frozenset[HallId]:
--- a/tests/direct/test_halldrains.py
+++ b/tests/direct/test_halldrains.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which word on drained halls counts, and how long each hall may still be sent to."""
+"""Order of readings of the drained halls, and the time for which each hall stays open."""
 
 import asyncio
 import random
@@ -59,7 +59,7 @@
         self.drains.on_store_reading(reading(4, OTHER), 4.0)
         self.assertEqual({OTHER}, self.drains.draining())
         self.drains.on_store_reading(reading(5, ONE, OTHER), 5.0)
-        # Drained anew, the first hall has its time from the last reading without it.
+        # Drained again, the first hall has its time from the last reading without it.
         self.assertEqual(4.0 + OPEN_S - 5.0, self.drains.left_s(ONE, 5.0))
         self.assertEqual(2.0 + OPEN_S - 5.0, self.drains.left_s(OTHER, 5.0))
 
--- a/tests/direct/test_homes.py
+++ b/tests/direct/test_homes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Where requests bound to home regions go, and where they never do."""
+"""Halls that serve requests with home regions, and halls that never do."""
 
 import asyncio
 import random
@@ -175,7 +175,7 @@
 
 
 class HomesRelayCase(RelayCase):
-    """A relay with targets in given halls, and homes of a route and of an organisation."""
+    """Relay with targets in given halls, and homes of a route and of an organisation."""
 
     route_homes: tuple[RegionId, ...] = ()
     organisation_homes: tuple[RegionId, ...] = ()
@@ -187,7 +187,7 @@
         return replace(plain, routes=(route,), organisations=(ann,))
 
     def assign_halls(self, running: RunningRelay, *halls: HallId) -> None:
-        """Put the targets in halls, in their order."""
+        """Assign halls to the targets, in their order."""
         running.serving.homes = Homes(REGION_OF)
         fleet = running.fleet
         groups = zip(fleet._groups.values(), halls, strict=True)
@@ -343,7 +343,7 @@
         ]
 
     def logged_events(self, *configurations: Configuration) -> list[str]:
-        """Return what is told of configurations, each checked twice."""
+        """Return the events logged for configurations, each checked twice."""
         events: list[str] = []
 
         class Log(EventLog):
