--- a/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
@@ -175,7 +175,7 @@
         self._connect_seeds()
         if self._loans is not None:
             names = [each.node for each in self._peers.all_peers()]
-            self._loans.beat(names, bool(self._peers.alive(now_s)), now_s)
+            self._loans.refresh(names, bool(self._peers.alive(now_s)), now_s)
         if self._limits is not None:
             self._limits.tick(self._peers.ranked_nodes(), self.meshed, now_s)
         own = self._own_work(now_s)
--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -52,7 +52,7 @@
 from ochreway_direct.sendlimits.coldtargets import ColdTargets
 from ochreway_direct.sendlimits.fleetlimit import FleetLimit
 from ochreway_direct.sendlimits.loans import Loans
-from ochreway_direct.sendlimits.standingshare import StandingShare
+from ochreway_direct.sendlimits.standingshare import StaticShare
 from ochreway_direct.serving import Serving
 from ochreway_direct.settings import DirectSettings
 from ochreway_direct.startsteps import StartSteps
@@ -109,7 +109,7 @@
         self._random = random.Random()
         self.me = Peer(NodeId(settings.name), settings.link_listen)
         self._cold = ColdTargets(log)
-        self._standing = StandingShare(self.me.node, len(settings.peer), self._loop.time())
+        self._standing = StaticShare(self.me.node, len(settings.peer), self._loop.time())
         self._limit = self._fleet_limit()
         backoffs = Backoffs()
         limits = TargetLimits()
@@ -345,9 +345,9 @@
             **self.notices.gauges(),
             **self._target_limits.gauges(now_s),
             "halls_without_region": float(len(self._home_check.unknown_halls)),
-            "targets_cold": float(self._cold.number(now_s)),
-            "loans_taken": float(self._limit.loans(now_s)),
-            "loans_made": float(self._loans.lent(now_s)),
+            "targets_cold": float(self._cold.cold_count(now_s)),
+            "loans_taken": float(self._limit.borrowed_total(now_s)),
+            "loans_made": float(self._loans.outstanding(now_s)),
             **self.means.gauges(),
         }
 
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleet.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleet.py
@@ -391,9 +391,9 @@
 
     def begin(self, attempt: Attempt) -> None:
         """Count an attempt at its target, as it is sent."""
-        self._limit.sent(attempt)
+        self._limit.record_sent(attempt)
         if self._gate is not None:
-            self._gate.sent(attempt)
+            self._gate.record_sent(attempt)
         self._under_way[attempt.candidate].add(attempt)
         self._unread[attempt.candidate] += attempt.prompt_tokens
 
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleetsharing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleetsharing.py
@@ -80,7 +80,7 @@
         self._share_list(targets)
 
     def _apply_list(self, targets: tuple[ListedTarget, ...], asked_s: float, now_s: float) -> None:
-        self._cold.listed(targets, now_s)
+        self._cold.record_list(targets, now_s)
         self._coordination.listed(targets, now_s, self._health.regained_s)
         self._view.apply_list(targets, asked_s, now_s, self._health.regained_s)
 
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/allowance.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/allowance.py
@@ -6,7 +6,7 @@
 
 from ochreway_direct.configuration import ColdStart
 
-STANDING_PART = 0.7
+STATIC_FRACTION = 0.7
 """The part that entries have without a holder of the lease.
 
 It is the larger part, so that callers are still served while no loans are made; the rest goes to
@@ -18,15 +18,15 @@
 class Allowance:
     """Hold the requests a second that are shared out by standing shares and by loans."""
 
-    standing: int
-    lent: int
+    static: int
+    loan_total: int
 
     @classmethod
-    def of(cls, cold_start: ColdStart, excess: float, slack: float) -> "Allowance":
+    def for_cold_start(cls, cold_start: ColdStart, excess: float, slack: float) -> "Allowance":
         """Return the allowance for targets that bear a rate, with the excess and slack allowed."""
-        whole = math.floor(cold_start.requests_per_s * excess + slack)
-        standing = math.floor(whole * STANDING_PART)
-        return cls(standing, whole - standing)
+        total = math.floor(cold_start.requests_per_s * excess + slack)
+        static = math.floor(total * STATIC_FRACTION)
+        return cls(static, total - static)
 
 
-__all__ = ["STANDING_PART", "Allowance"]
+__all__ = ["STATIC_FRACTION", "Allowance"]
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/coldtargets.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/coldtargets.py
@@ -10,9 +10,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Listed:
+class _ColdTarget:
     cold_s: float
-    until_s: float
+    cold_until_s: float
 
 
 class ColdTargets:
@@ -20,35 +20,35 @@
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
-        self._listed: dict[InstanceId, _Listed] = {}
+        self._cold_targets: dict[InstanceId, _ColdTarget] = {}
 
-    def listed(self, targets: Iterable[ListedTarget], now_s: float) -> None:
+    def record_list(self, targets: Iterable[ListedTarget], now_s: float) -> None:
         """Take the list as it was read."""
-        found = {}
+        current = {}
         for target in targets:
             if target.cold_s <= 0.0:
                 continue
-            known = self._listed.get(target.instance)
+            known = self._cold_targets.get(target.instance)
             if known is None or known.cold_s != target.cold_s:
                 if not self.is_cold(target.instance, now_s):
-                    self._tell(target)
-                known = _Listed(target.cold_s, now_s + target.cold_s)
-            found[target.instance] = known
-        self._listed = found
+                    self._log_cold(target)
+                known = _ColdTarget(target.cold_s, now_s + target.cold_s)
+            current[target.instance] = known
+        self._cold_targets = current
 
-    def _tell(self, target: ListedTarget) -> None:
+    def _log_cold(self, target: ListedTarget) -> None:
         self._log.event(
             "target_cold", target=target.instance, service=target.service, cold_s=target.cold_s
         )
 
     def is_cold(self, instance: InstanceId, now_s: float) -> bool:
         """Tell whether a target was listed as cold until later than now."""
-        known = self._listed.get(instance)
-        return known is not None and now_s < known.until_s
+        known = self._cold_targets.get(instance)
+        return known is not None and now_s < known.cold_until_s
 
-    def number(self, now_s: float) -> int:
+    def cold_count(self, now_s: float) -> int:
         """Return how many targets are known to be cold."""
-        return sum(now_s < each.until_s for each in self._listed.values())
+        return sum(now_s < each.cold_until_s for each in self._cold_targets.values())
 
 
 __all__ = ["ColdTargets"]
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/fleetlimit.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/fleetlimit.py
@@ -10,10 +10,10 @@
 from ochreway_direct.relay.attempt import Attempt
 from ochreway_direct.sendlimits.allowance import Allowance
 from ochreway_direct.sendlimits.coldtargets import ColdTargets
-from ochreway_direct.sendlimits.loan import LENT_S, Loan
+from ochreway_direct.sendlimits.loan import LOAN_DURATION_S, Loan
 from ochreway_direct.sendlimits.sendlimit import SendLimit
-from ochreway_direct.sendlimits.sendwindow import HELD_S, SendWindow
-from ochreway_direct.sendlimits.standingshare import StandingShare
+from ochreway_direct.sendlimits.sendwindow import WINDOW_S, SendWindow
+from ochreway_direct.sendlimits.standingshare import StaticShare
 from ochreway_runtime.logs import EventLog
 from ochreway_runtime.metrics import Metrics
 
@@ -33,9 +33,9 @@
         services: Services,
         excess: float,
         slack: float,
-        standing: StandingShare,
+        static_share: StaticShare,
         cold: ColdTargets,
-        began_s: float,
+        started_s: float,
         log: EventLog,
         metrics: Metrics,
     ) -> None:
@@ -43,32 +43,32 @@
         self._services = services
         self._excess = excess
         self._slack = slack
-        self._standing = standing
+        self._static_share = static_share
         self._cold = cold
-        self._open_s = began_s + HELD_S
+        self._send_from_s = started_s + WINDOW_S
         self._log = log
         self._metrics = metrics
         self._loan = Loan()
         self._loan_end_s = -math.inf
-        self._had_loan = False
+        self._has_loan = False
         self._windows: dict[InstanceId, SendWindow] = {}
 
     # What is learned.
 
-    def learn(self, names: Iterable[NodeId], heard: bool, now_s: float) -> None:
+    def update_entries(self, names: Iterable[NodeId], any_alive: bool, now_s: float) -> None:
         """Take the names of other entries, and whether any is heard; tell of a loan that lapsed."""
-        self._standing.learn(names, heard, now_s)
+        self._static_share.update_entries(names, any_alive, now_s)
         self._windows = {i: w for i, w in self._windows.items() if w.count(now_s)}
-        if self._had_loan and now_s >= self._loan_end_s:
-            self._had_loan = False
+        if self._has_loan and now_s >= self._loan_end_s:
+            self._has_loan = False
             self._log.event("loan_lapsed")
 
     def borrow(self, loan: Loan, echo_s: float, now_s: float) -> None:
         """Take a loan that came with the echo of what this entry sent at a time."""
         self._loan = loan
-        self._loan_end_s = echo_s + LENT_S
-        if loan.shares and not self._had_loan and now_s < self._loan_end_s:
-            self._had_loan = True
+        self._loan_end_s = echo_s + LOAN_DURATION_S
+        if loan.shares and not self._has_loan and now_s < self._loan_end_s:
+            self._has_loan = True
             shares = ",".join(f"{name}:{share}" for name, share in sorted(loan.shares.items()))
             self._log.event("loan", shares=shares)
 
@@ -77,20 +77,20 @@
     def allowances(self) -> Mapping[ServiceName, Allowance]:
         """Return the allowance of each service that states what its cold targets bear."""
         return {
-            each.name: Allowance.of(each.cold_start, self._excess, self._slack)
+            each.name: Allowance.for_cold_start(each.cold_start, self._excess, self._slack)
             for each in self._services()
             if each.cold_start is not None
         }
 
     def lendable(self) -> Mapping[ServiceName, int]:
         """Return how much the holder of the lease may lend for each service."""
-        return {name: each.lent for name, each in self.allowances().items()}
+        return {name: each.loan_total for name, each in self.allowances().items()}
 
     def loan_of(self, service: ServiceName, now_s: float) -> int:
         """Return what this entry has on loan for each target of a service."""
         return self._loan.shares.get(service, 0) if now_s < self._loan_end_s else 0
 
-    def loans(self, now_s: float) -> int:
+    def borrowed_total(self, now_s: float) -> int:
         """Return the sum of what this entry has on loan."""
         return sum(self._loan.shares.values()) if now_s < self._loan_end_s else 0
 
@@ -108,14 +108,14 @@
         share = self._share(service, instance, now_s)
         if share is None:
             return 0.0
-        if now_s < self._open_s:
-            return self._open_s - now_s
+        if now_s < self._send_from_s:
+            return self._send_from_s - now_s
         if not share:
             return math.inf
         window = self._windows.get(instance)
         return window.free_in_s(share, now_s) if window is not None else 0.0
 
-    def sent(self, attempt: Attempt) -> None:
+    def record_sent(self, attempt: Attempt) -> None:
         """Count a request that is about to be sent to its target."""
         window = self._windows.get(attempt.instance)
         if window is None:
@@ -129,15 +129,15 @@
         allowance = self._allowance(service)
         if allowance is None:
             return None
-        if now_s < self._open_s:
+        if now_s < self._send_from_s:
             return 0
-        standing = self._standing.of(allowance.standing, instance, now_s)
-        return standing + self.loan_of(service, now_s)
+        static = self._static_share.requests_for(allowance.static, instance, now_s)
+        return static + self.loan_of(service, now_s)
 
     def _allowance(self, service: ServiceName) -> Allowance | None:
         for each in self._services():
             if each.name == service and each.cold_start is not None:
-                return Allowance.of(each.cold_start, self._excess, self._slack)
+                return Allowance.for_cold_start(each.cold_start, self._excess, self._slack)
         return None
 
     def _count(self, instance: InstanceId, now_s: float) -> int:
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/loan.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/loan.py
@@ -5,7 +5,7 @@
 
 from ochreway_direct.ids import ServiceName
 
-LENT_S = 2.0
+LOAN_DURATION_S = 2.0
 """How long a loan lasts: several heartbeats, some of which may be lost."""
 
 
@@ -19,4 +19,4 @@
     shares: dict[ServiceName, int] = field(default_factory=dict)
 
 
-__all__ = ["LENT_S", "Loan"]
+__all__ = ["LOAN_DURATION_S", "Loan"]
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/loans.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/loans.py
@@ -30,11 +30,11 @@
         self._lease = lease
         self._weights = weights
         self._lender = lender or Lender()
-        self._taken_at = 0
+        self._lease_taken_at = 0
 
-    def beat(self, names: Iterable[NodeId], heard: bool, now_s: float) -> None:
+    def refresh(self, names: Iterable[NodeId], any_alive: bool, now_s: float) -> None:
         """Learn who there is, and lend to this entry itself."""
-        self._limit.learn(names, heard, now_s)
+        self._limit.update_entries(names, any_alive, now_s)
         loan = self.lend(self._me, now_s)
         if loan is not None:
             self._limit.borrow(loan, now_s, now_s)
@@ -43,22 +43,22 @@
         """Return what an entry is lent with a heartbeat that is sent now."""
         if not self._lease.held:
             return None
-        if self._taken_at != self._lease.taken_at:
-            self._taken_at = self._lease.taken_at
-            self._lender.begin(now_s)
-        parts = self._limit.lendable()
-        if not parts or not self._lender.lends(self._lease.renewed_s, now_s):
+        if self._lease_taken_at != self._lease.taken_at:
+            self._lease_taken_at = self._lease.taken_at
+            self._lender.on_lease_taken(now_s)
+        amounts = self._limit.lendable()
+        if not amounts or not self._lender.may_lend(self._lease.renewed_s, now_s):
             return None
-        return self._lender.lend(node, parts, self._weights(now_s), now_s)
+        return self._lender.lend(node, amounts, self._weights(now_s), now_s)
 
     def borrow(self, loan: Loan | None, echo_s: float | None, now_s: float) -> None:
         """Take what a heartbeat lends, if it echoes what this life of the entry sent."""
         if loan is not None and echo_s is not None:
             self._limit.borrow(loan, echo_s, now_s)
 
-    def lent(self, now_s: float) -> int:
+    def outstanding(self, now_s: float) -> int:
         """Return how much this entry has lent as holder of the lease."""
-        return sum(self._lender.lent(name, now_s) for name in self._limit.lendable())
+        return sum(self._lender.outstanding(name, now_s) for name in self._limit.lendable())
 
 
 __all__ = ["Loans"]
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/sendlimit.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/sendlimit.py
@@ -20,7 +20,7 @@
         """Return how long it takes until a target may be sent one more request; 0 if it may now."""
 
     @abstractmethod
-    def sent(self, attempt: Attempt) -> None:
+    def record_sent(self, attempt: Attempt) -> None:
         """Count a request that is about to be sent to its target."""
 
 
@@ -35,7 +35,7 @@
         """Return that there is nothing to wait for."""
         return 0.0
 
-    def sent(self, attempt: Attempt) -> None:
+    def record_sent(self, attempt: Attempt) -> None:
         """Count nothing."""
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/sendwindow.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/sendwindow.py
@@ -3,7 +3,7 @@
 
 from ochreway_direct.relay.attempt import Attempt
 
-HELD_S = 1.1
+WINDOW_S = 1.1
 """For how long an attempt counts after it was written: the second of the limit and a margin.
 
 A write is noted some turns of the event loop before or after the bytes leave.
@@ -20,21 +20,23 @@
         """Count an attempt from now on."""
         self._attempts.append(attempt)
 
-    def count(self, now_s: float, held_s: float = HELD_S) -> int:
+    def count(self, now_s: float, window_s: float = WINDOW_S) -> int:
         """Return how many attempts count now."""
-        self._attempts = [each for each in self._attempts if _left_s(each, now_s, held_s) > 0.0]
+        self._attempts = [
+            each for each in self._attempts if _remaining_s(each, now_s, window_s) > 0.0
+        ]
         return len(self._attempts)
 
-    def free_in_s(self, share: int, now_s: float, held_s: float = HELD_S) -> float:
+    def free_in_s(self, share: int, now_s: float, window_s: float = WINDOW_S) -> float:
         """Return after what time fewer attempts than a share count, if none is added."""
-        surplus = self.count(now_s, held_s) - share
-        if surplus < 0:
+        excess = self.count(now_s, window_s) - share
+        if excess < 0:
             return 0.0
-        return sorted(_left_s(each, now_s, held_s) for each in self._attempts)[surplus]
+        return sorted(_remaining_s(each, now_s, window_s) for each in self._attempts)[excess]
 
 
-def _left_s(attempt: Attempt, now_s: float, held_s: float) -> float:
-    return held_s if attempt.written_s is None else attempt.written_s + held_s - now_s
+def _remaining_s(attempt: Attempt, now_s: float, window_s: float) -> float:
+    return window_s if attempt.written_s is None else attempt.written_s + window_s - now_s
 
 
-__all__ = ["HELD_S", "SendWindow"]
+__all__ = ["WINDOW_S", "SendWindow"]
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitgate.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitgate.py
@@ -34,7 +34,7 @@
             return 0.0
         return window.free_in_s(own_requests, now_s, quota.window_s)
 
-    def sent(self, attempt: Attempt) -> None:
+    def record_sent(self, attempt: Attempt) -> None:
         """Count a request that is about to be sent to its target."""
         if self._limits.limit_per_s(attempt.instance, attempt.born_ms) is None:
             self._windows.pop(attempt.instance, None)
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitpool.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitpool.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from ochreway_core.ids import InstanceId, NodeId
-from ochreway_direct.sendlimits.standingshare import StandingShare
+from ochreway_direct.sendlimits.standingshare import StaticShare
 from ochreway_direct.targetlimits.allotment import Allotment
 from ochreway_direct.targetlimits.poolnews import LimitNews, PoolNews
 from ochreway_routing.quota import Quota
@@ -72,7 +72,7 @@
 class LimitPool:
     """Lead a pool, or be a member of one."""
 
-    def __init__(self, me: NodeId, static_share: StandingShare, started_s: float) -> None:
+    def __init__(self, me: NodeId, static_share: StaticShare, started_s: float) -> None:
         """Start without any share; ``static_share`` knows the number of entries.
 
         ``_announced_s`` is when the newest allotment was first announced, ``_transition_began_s``
@@ -194,11 +194,11 @@
 
     def _desired_allotment(self, now_s: float) -> Allotment | None:
         """Return shares by the members' request rates; None before all entries are known."""
-        if not self._static_share.settled(now_s) and now_s - self._started_s < ALONE_DELAY_S:
+        if not self._static_share.is_settled(now_s) and now_s - self._started_s < ALONE_DELAY_S:
             return None
         demand = {node: each.requests_per_s for node, each in self._members.items()}
         demand[self._me] = self._requests_per_s
-        known_share = len(demand) / max(len(demand), self._static_share.known)
+        known_share = len(demand) / max(len(demand), self._static_share.entry_count)
         weights = _weights(demand)
         total_weight = sum(weights.values())
         return Allotment(
@@ -253,7 +253,7 @@
     def requests_of(self, quota: Quota, instance: InstanceId, now_s: float) -> int:
         """Return how many of a target's requests per quota window this entry may send."""
         if not self._full_mesh:
-            return self._static_share.equal_of(quota.requests, instance, now_s)
+            return self._static_share.equal_requests_for(quota.requests, instance, now_s)
         if not self.is_leader and now_s >= self._valid_until_s:
             return 0
         key = (instance, quota.requests)
--- a/packages/ochreway-standins/src/ochreway_standins/slopes/targetlimits.py
+++ b/packages/ochreway-standins/src/ochreway_standins/slopes/targetlimits.py
@@ -6,7 +6,7 @@
 from ochreway_core.codec import encode
 from ochreway_core.ids import HallId, InstanceId, NodeId
 from ochreway_direct.relay.attempt import Attempt
-from ochreway_direct.sendlimits.standingshare import StandingShare
+from ochreway_direct.sendlimits.standingshare import StaticShare
 from ochreway_direct.targetlimits.limitgate import LimitGate
 from ochreway_direct.targetlimits.limitpool import NEW_LEADER_DELAY_S, LimitPool
 from ochreway_direct.targetlimits.limitspread import (
@@ -30,10 +30,10 @@
 def pool_of(entries: int) -> LimitPool:
     """Return the pool of the first of so many entries, all of them its members."""
     me, *others = (NodeId(f"front-guro-hall-{n:02}") for n in range(entries))
-    standing = StandingShare(me, 3, 0.0)
+    standing = StaticShare(me, 3, 0.0)
     pool = LimitPool(me, standing, 0.0)
     for now_s in (NOW_S - 60.0, NOW_S - 2.0 * NEW_LEADER_DELAY_S, NOW_S):
-        standing.learn(others, True, now_s)
+        standing.update_entries(others, True, now_s)
         for other in others:
             pool.on_news(other, PoolNews(follows=True, asked_per_s=40.0), None, now_s)
         pool.tick((me, *others), True, 40.0, now_s)
@@ -61,7 +61,7 @@
     limits, pool = full_limits(), pool_of(ENTRIES)
     gate = LimitGate(limits, pool)
     for number in range(MAX_TARGETS):
-        gate.sent(attempt_at(number))
+        gate.record_sent(attempt_at(number))
         gate.wait_s(named(number), number, NOW_S)
     held_mb = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
--- a/packages/ochreway-standins/src/ochreway_standins/spreadworld.py
+++ b/packages/ochreway-standins/src/ochreway_standins/spreadworld.py
@@ -29,7 +29,7 @@
 from ochreway_direct.sendlimits.coldtargets import ColdTargets
 from ochreway_direct.sendlimits.fleetlimit import FleetLimit
 from ochreway_direct.sendlimits.loans import Loans
-from ochreway_direct.sendlimits.standingshare import StandingShare
+from ochreway_direct.sendlimits.standingshare import StaticShare
 from ochreway_direct.serving import Serving
 from ochreway_direct.timing import DirectTiming
 from ochreway_direct.versions.freshness import Freshness
@@ -100,7 +100,7 @@
             self._services,
             COLD_EXCESS,
             COLD_SLACK,
-            StandingShare(name, len(seeds), began_s),
+            StaticShare(name, len(seeds), began_s),
             ColdTargets(log),
             *(began_s, log, metrics),
         )
--- a/tests/direct/limitworld.py
+++ b/tests/direct/limitworld.py
@@ -6,7 +6,7 @@
 
 from ochreway_core.ids import HallId, InstanceId, NodeId
 from ochreway_direct.relay.attempt import Attempt
-from ochreway_direct.sendlimits.standingshare import StandingShare
+from ochreway_direct.sendlimits.standingshare import StaticShare
 from ochreway_direct.targetlimits.limitgate import LimitGate
 from ochreway_direct.targetlimits.limitpool import LimitPool
 from ochreway_direct.targetlimits.limitsharing import LimitSharing
@@ -41,7 +41,7 @@
         self._world = world
         self.name = name
         self.began_s = world.now_s
-        self.standing = StandingShare(name, seeds, self.began_s)
+        self.standing = StaticShare(name, seeds, self.began_s)
         self.limits = TargetLimits()
         self.pool = LimitPool(name, self.standing, self.began_s)
         self.gate = LimitGate(self.limits, self.pool)
@@ -60,7 +60,7 @@
     def send_heartbeats(self) -> None:
         now_s = self._world.now_s
         alive = self.alive_peers()
-        self.standing.learn(self.names, bool(alive), now_s)
+        self.standing.update_entries(self.names, bool(alive), now_s)
         self.sharing.tick(sorted([*self.last_received, self.name]), True, now_s)
         for peer in self._world.names():
             if peer != self.name:
@@ -90,7 +90,7 @@
             return
         attempt = Attempt(TARGET, "address", HallId("h"), TARGET, begun_s=now_s)
         attempt.record_written(now_s)
-        self.gate.sent(attempt)
+        self.gate.record_sent(attempt)
         self._world.record_arrival(self)
 
 
--- a/tests/direct/sendworld.py
+++ b/tests/direct/sendworld.py
@@ -19,7 +19,7 @@
 from ochreway_direct.sendlimits.lender import Lender
 from ochreway_direct.sendlimits.loan import Loan
 from ochreway_direct.sendlimits.loans import Loans
-from ochreway_direct.sendlimits.standingshare import StandingShare
+from ochreway_direct.sendlimits.standingshare import StaticShare
 from ochreway_platform.errors import TableUnavailable
 from ochreway_platform.memorytable import MemoryTable
 from ochreway_runtime.metrics import Metrics
@@ -32,14 +32,14 @@
 ALLOWANCE = 10
 """Little, so that hardly anything is left over: seven stand for all entries, three are lent."""
 LENDABLE = 3
-BEAT_S = 0.3
-RENEW_S = 2.0
+HEARTBEAT_INTERVAL_S = 0.3
+LEASE_RENEW_S = 2.0
 STEP_S = 0.1
-ALIVE_S = 1.0
+PEER_TIMEOUT_S = 1.0
 T = TypeVar("T")
 
 
-def finished(work: Coroutine[Any, Any, T]) -> T:
+def run_synchronously(work: Coroutine[Any, Any, T]) -> T:
     """Run what waits for nothing."""
     try:
         work.send(None)
@@ -48,29 +48,29 @@
     raise AssertionError("it waits")
 
 
-class CutTable(MemoryTable):
+class UnreliableTable(MemoryTable):
     """Reach a table that all share, unless it is cut off or its answers are lost."""
 
     def __init__(self, shared: MemoryTable) -> None:
         super().__init__()
         self.shared = shared
-        self.cut = False
+        self.unreachable = False
         self.answers_lost = False
 
     async def read(self, prefixes: tuple[str, ...]) -> dict[str, Row]:
-        if self.cut or self.answers_lost:
+        if self.unreachable or self.answers_lost:
             raise TableUnavailable("cut")
         return dict(self.shared.read_now(prefixes))
 
     async def commit(self, transaction: Transaction) -> CommitReply:
-        if self.cut:
+        if self.unreachable:
             return CommitReply(CommitStatus.LOST)
         reply = self.shared.commit_now(transaction)
         return CommitReply(CommitStatus.LOST) if self.answers_lost else reply
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class Heartbeat:
     """Say what a heartbeat says of these matters."""
 
     sender: NodeId
@@ -85,41 +85,41 @@
     """Say which guards are in force, to show that each is needed."""
 
     limited: bool = True
-    quiet: bool = True
-    counted: bool = True
-    echoed: bool = True
-    held: bool = True
-    opened_late: bool = True
+    new_holder_waits: bool = True
+    loans_counted: bool = True
+    loans_from_echo: bool = True
+    counted_until_written: bool = True
+    starts_silent: bool = True
 
 
 class SendEntry:
     """Own an entry's limit, its loans and its clock."""
 
-    def __init__(self, world: "SendWorld", name: NodeId, life: int, clock_s: float) -> None:
+    def __init__(self, world: "SendWorld", name: NodeId, incarnation: int, clock_s: float) -> None:
         self._world = world
         self.name = name
         self.clock_s = clock_s
-        self.began_s = world.now_s + clock_s
+        self.started_s = world.now_s + clock_s
         self.log = RecordedLog()
         self.metrics = Metrics(None, "entry")
-        self.standing = StandingShare(name, world.seeds, self.began_s)
+        self.static_share = StaticShare(name, world.seeds, self.started_s)
         self.limit = FleetLimit(
-            *(lambda: (COLD,), EXCESS, SLACK, self.standing, ColdTargets(self.log)),
-            *(self.began_s, self.log, self.metrics),
+            *(lambda: (COLD,), EXCESS, SLACK, self.static_share, ColdTargets(self.log)),
+            *(self.started_s, self.log, self.metrics),
         )
-        self.table = CutTable(world.table)
+        self.table = UnreliableTable(world.table)
         backoff = Backoff(0.1, 1.0, random.Random(1))
-        self.lease = Lease(self.table, Holder(name, str(life)), RENEW_S, backoff)
+        self.lease = Lease(self.table, Holder(name, str(incarnation)), LEASE_RENEW_S, backoff)
         lender = Lender(
-            **({} if world.guards.quiet else {"quiet_s": 0.0}),
-            **({} if world.guards.counted else {"lapsed_s": 0.0}),
+            **({} if world.guards.new_holder_waits else {"new_holder_delay_s": 0.0}),
+            **({} if world.guards.loans_counted else {"loan_lapse_s": 0.0}),
         )
         self.loans = Loans(name, self.limit, self.lease, self._weights, lender)
-        self.heard: dict[NodeId, tuple[float, float]] = {}
+        self.last_received: dict[NodeId, tuple[float, float]] = {}
         self.names: set[NodeId] = set()
         self.weight = 1.0
         self.frozen = False
-        self.kept: list[Beat] = []
+        self.undelivered: list[Heartbeat] = []
 
     def _weights(self, now_s: float) -> dict[NodeId, float]:
         entries = self._world.entries
@@ -127,29 +127,29 @@
         return {name: entries[name].weight for name in (self.name, *known)}
 
     def _alive(self, now_s: float) -> list[NodeId]:
-        return [n for n, (_, at_s) in self.heard.items() if now_s - at_s < ALIVE_S]
+        return [n for n, (_, at_s) in self.last_received.items() if now_s - at_s < PEER_TIMEOUT_S]
 
-    def beat(self, now_s: float) -> None:
-        self.loans.beat(self.names, bool(self._alive(now_s)), now_s)
+    def tick(self, now_s: float) -> None:
+        self.loans.refresh(self.names, bool(self._alive(now_s)), now_s)
         if self.lease.due(now_s):
-            finished(self.lease.renew(now_s))
+            run_synchronously(self.lease.renew(now_s))
 
-    def to(self, node: NodeId, now_s: float) -> Beat:
-        echo_s = self.heard[node][0] if node in self.heard else None
+    def heartbeat_to(self, node: NodeId, now_s: float) -> Heartbeat:
+        echo_s = self.last_received[node][0] if node in self.last_received else None
         names = (self.name, *self.names)
-        return Beat(self.name, now_s, echo_s, names, self.loans.lend(node, now_s))
+        return Heartbeat(self.name, now_s, echo_s, names, self.loans.lend(node, now_s))
 
-    def hear(self, beat: Beat, now_s: float, echoed: bool) -> None:
-        self.heard[beat.sender] = (beat.sent_s, now_s)
-        self.names |= set(beat.names) - {self.name}
-        if not echoed:
-            self.loans.borrow(beat.loan, now_s, now_s)
-        elif beat.echo_s is not None and self.began_s <= beat.echo_s <= now_s:
-            self.loans.borrow(beat.loan, beat.echo_s, now_s)
+    def on_heartbeat(self, heartbeat: Heartbeat, now_s: float, loans_from_echo: bool) -> None:
+        self.last_received[heartbeat.sender] = (heartbeat.sent_s, now_s)
+        self.names |= set(heartbeat.names) - {self.name}
+        if not loans_from_echo:
+            self.loans.borrow(heartbeat.loan, now_s, now_s)
+        elif heartbeat.echo_s is not None and self.started_s <= heartbeat.echo_s <= now_s:
+            self.loans.borrow(heartbeat.loan, heartbeat.echo_s, now_s)
 
-    def take(self, now_s: float) -> bool:
-        finished(self.lease.observe(now_s))
-        return finished(self.lease.take(now_s))
+    def take_lease(self, now_s: float) -> bool:
+        run_synchronously(self.lease.observe(now_s))
+        return run_synchronously(self.lease.take(now_s))
 
 
 @dataclass(slots=True)
@@ -161,72 +161,74 @@
     now_s: float = 100.0
     table: MemoryTable = field(default_factory=MemoryTable)
     entries: dict[NodeId, SendEntry] = field(default_factory=dict)
-    cuts: set[frozenset[NodeId]] = field(default_factory=set)
+    cut_links: set[frozenset[NodeId]] = field(default_factory=set)
     delays_s: dict[NodeId, float] = field(default_factory=dict)
     written: dict[InstanceId, list[float]] = field(default_factory=lambda: defaultdict(list))
-    most_lent: int = 0
-    _mail: list[tuple[float, NodeId, Beat]] = field(default_factory=list)
+    max_borrowed: int = 0
+    _in_flight: list[tuple[float, NodeId, Heartbeat]] = field(default_factory=list)
     _writes: list[tuple[float, SendEntry, Attempt]] = field(default_factory=list)
     _clocks_s: dict[NodeId, float] = field(default_factory=dict)
-    _lives: int = 0
+    _incarnations: int = 0
     _steps: int = 0
 
     def __post_init__(self) -> None:
         for number in range(self.seeds):
-            self.join(NodeId(f"e{number}"))
+            self.start_entry(NodeId(f"e{number}"))
 
-    def join(self, name: NodeId) -> SendEntry:
+    def start_entry(self, name: NodeId) -> SendEntry:
         """Start an entry, or another life of one; each instance has a clock of its own."""
-        self._lives += 1
+        self._incarnations += 1
         clock_s = self._clocks_s.setdefault(name, 1000.0 * len(self._clocks_s))
-        entry = SendEntry(self, name, self._lives, clock_s)
-        if not self.guards.opened_late:
-            entry.limit._open_s = entry.began_s
+        entry = SendEntry(self, name, self._incarnations, clock_s)
+        if not self.guards.starts_silent:
+            entry.limit._send_from_s = entry.started_s
         self.entries[name] = entry
         return entry
 
-    def run(self, for_s: float) -> None:
-        for _ in range(round(for_s / STEP_S)):
+    def run(self, duration_s: float) -> None:
+        for _ in range(round(duration_s / STEP_S)):
             self._steps += 1
             self.now_s += STEP_S
             self._write()
             self._deliver()
-            if self._steps % round(BEAT_S / STEP_S) == 0:
-                self._beat()
-            self.most_lent = max(self.most_lent, self._lent())
+            if self._steps % round(HEARTBEAT_INTERVAL_S / STEP_S) == 0:
+                self._exchange_heartbeats()
+            self.max_borrowed = max(self.max_borrowed, self._borrowed())
 
-    def _lent(self) -> int:
+    def _borrowed(self) -> int:
         """Return what all entries have on loan now."""
         loans = (e.limit.loan_of(SERVICE, self.now_s + e.clock_s) for e in self.entries.values())
         return sum(loans)
 
-    def _beat(self) -> None:
+    def _exchange_heartbeats(self) -> None:
         for entry in list(self.entries.values()):
             if entry.frozen:
                 continue
             now_s = self.now_s + entry.clock_s
-            entry.beat(now_s)
+            entry.tick(now_s)
             for other in self.entries:
-                if other != entry.name and frozenset((other, entry.name)) not in self.cuts:
+                if other != entry.name and frozenset((other, entry.name)) not in self.cut_links:
                     due_s = self.now_s + self.delays_s.get(entry.name, 0.0)
-                    self._mail.append((due_s, other, entry.to(other, now_s)))
+                    self._in_flight.append((due_s, other, entry.heartbeat_to(other, now_s)))
 
     def _deliver(self) -> None:
-        due = [each for each in self._mail if each[0] <= self.now_s]
-        self._mail = [each for each in self._mail if each[0] > self.now_s]
-        for _, node, beat in due:
+        due = [each for each in self._in_flight if each[0] <= self.now_s]
+        self._in_flight = [each for each in self._in_flight if each[0] > self.now_s]
+        for _, node, heartbeat in due:
             entry = self.entries.get(node)
             if entry is not None and entry.frozen:
-                entry.kept.append(beat)
+                entry.undelivered.append(heartbeat)
             elif entry is not None:
-                entry.hear(beat, self.now_s + entry.clock_s, self.guards.echoed)
+                entry.on_heartbeat(
+                    heartbeat, self.now_s + entry.clock_s, self.guards.loans_from_echo
+                )
 
-    def wake(self, entry: SendEntry) -> None:
+    def unfreeze(self, entry: SendEntry) -> None:
         """Let an entry go on that stood still; it finds what came meanwhile."""
         entry.frozen = False
-        kept, entry.kept = entry.kept, []
-        for beat in kept:
-            entry.hear(beat, self.now_s + entry.clock_s, self.guards.echoed)
+        backlog, entry.undelivered = entry.undelivered, []
+        for heartbeat in backlog:
+            entry.on_heartbeat(heartbeat, self.now_s + entry.clock_s, self.guards.loans_from_echo)
 
     def burst(self, entry: SendEntry, target: InstanceId, number: int, connect_s: float) -> int:
         """Have an entry try to send requests at once; return how many were sent."""
@@ -237,8 +239,8 @@
             if entry.frozen or (self.guards.limited and not allowed):
                 continue
             attempt = Attempt(target, "x:1", HallId("h"), target, begun_s=now_s)
-            entry.limit.sent(attempt)
-            if not self.guards.held:
+            entry.limit.record_sent(attempt)
+            if not self.guards.counted_until_written:
                 attempt.record_written(now_s)
             self._writes.append((self.now_s + connect_s, entry, attempt))
             sent += 1
@@ -251,15 +253,15 @@
         for _, entry, attempt in due:
             if self.entries.get(entry.name) is entry:
                 self.written[attempt.instance].append(self.now_s)
-                if self.guards.held:
+                if self.guards.counted_until_written:
                     attempt.record_written(self.now_s + entry.clock_s)
 
-    def most(self) -> int:
+    def max_per_second(self) -> int:
         """Return the most requests that any target got within a second."""
-        return max((_most(times) for times in self.written.values()), default=0)
+        return max((_max_within_second(times) for times in self.written.values()), default=0)
 
 
-def _most(times: list[float]) -> int:
+def _max_within_second(times: list[float]) -> int:
     return max(
         sum(begin_s <= each <= begin_s + 1.0 + STEP_S / 10 for each in times)
         for begin_s in set(times)
--- a/tests/direct/test_coldtargets.py
+++ b/tests/direct/test_coldtargets.py
@@ -21,21 +21,21 @@
         self.log = RecordedLog()
         self.cold = ColdTargets(self.log)
 
-    def test_a_target_is_cold_for_as_long_as_it_said_when_its_row_was_read(self) -> None:
-        self.cold.listed([listed("a", 3.0), listed("b", 0.0)], 10.0)
-        self.assertEqual((1, 0), (self.cold.number(12.9), self.cold.number(13.0)))
+    def test_a_target_is_cold_for_the_announced_time_since_the_first_reading(self) -> None:
+        self.cold.record_list([listed("a", 3.0), listed("b", 0.0)], 10.0)
+        self.assertEqual((1, 0), (self.cold.cold_count(12.9), self.cold.cold_count(13.0)))
         self.assertFalse(self.cold.is_cold(InstanceId("b"), 10.0))
 
-    def test_the_same_row_read_again_says_nothing_new(self) -> None:
+    def test_an_unchanged_row_is_not_logged_again(self) -> None:
         for now_s in (10.0, 11.0, 12.0):
-            self.cold.listed([listed("a", 3.0)], now_s)
+            self.cold.record_list([listed("a", 3.0)], now_s)
         self.assertFalse(self.cold.is_cold(InstanceId("a"), 13.0))
         self.assertEqual(["target_cold"], self.log.names)
 
-    def test_one_that_turns_cold_again_is_told_of_again(self) -> None:
-        self.cold.listed([listed("a", 3.0)], 10.0)
-        self.cold.listed([listed("a", 0.0)], 13.0)
-        self.cold.listed([listed("a", 3.0)], 20.0)
+    def test_a_target_that_turns_cold_again_is_logged_again(self) -> None:
+        self.cold.record_list([listed("a", 3.0)], 10.0)
+        self.cold.record_list([listed("a", 0.0)], 13.0)
+        self.cold.record_list([listed("a", 3.0)], 20.0)
         self.assertTrue(self.cold.is_cold(InstanceId("a"), 22.0))
         self.assertEqual(["target_cold"] * 2, self.log.names)
 
--- a/tests/direct/test_limitpool.py
+++ b/tests/direct/test_limitpool.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from ochreway_core.ids import InstanceId, NodeId
-from ochreway_direct.sendlimits.standingshare import StandingShare
+from ochreway_direct.sendlimits.standingshare import StaticShare
 from ochreway_direct.targetlimits.allotment import Allotment
 from ochreway_direct.targetlimits.limitpool import SHARES_TIMEOUT_S, TRANSITION_S, LimitPool
 from ochreway_routing.quota import MIN_RATE_PER_S, Quota
@@ -200,9 +200,9 @@
         quota = Quota.for_limit(10.0)
         given_out = 0
         for me in names:
-            standing = StandingShare(me, 3, 0.0)
+            standing = StaticShare(me, 3, 0.0)
             for now_s in (1.0, 12.0):
-                standing.learn((each for each in names if each != me), True, now_s)
+                standing.update_entries((each for each in names if each != me), True, now_s)
             pool = LimitPool(me, standing, 0.0)
             pool.tick((me,), False, 1.0, 12.0)
             given_out += pool.requests_of(quota, InstanceId("i"), 12.0)
--- a/tests/direct/test_sendlimitproperty.py
+++ b/tests/direct/test_sendlimitproperty.py
@@ -13,9 +13,9 @@
 
 TARGET = InstanceId("i")
 SEEDS = 5
-JOINS_AT_MOST = 2
+MAX_JOINS = 2
 """As many as a standing share has headroom for, should nobody hear of them."""
-ANY_NUMBER = 80
+BURST_REQUESTS = 80
 ALL_GUARDS = Guards()
 
 
@@ -30,7 +30,7 @@
     then_s: float
 
 
-class Play:
+class Scenario:
     """Carry steps out on a world."""
 
     def __init__(self, guards: Guards = ALL_GUARDS) -> None:
@@ -43,32 +43,32 @@
     def run(self, steps: list[Step]) -> int:
         """Return the most requests that the target got within a second."""
         for step in steps:
-            ACTS[step.what](self, step)
+            ACTIONS[step.what](self, step)
             self.world.run(step.then_s)
-        return self.world.most()
+        return self.world.max_per_second()
 
     def entry(self, index: int) -> SendEntry:
         return list(self.world.entries.values())[index % len(self.world.entries)]
 
     def burst(self, step: Step) -> None:
-        self.world.burst(self.entry(step.which), TARGET, ANY_NUMBER, min(step.s, 0.6))
+        self.world.burst(self.entry(step.which), TARGET, BURST_REQUESTS, min(step.s, 0.6))
 
     def burst_all(self, step: Step) -> None:
         for entry in self.world.entries.values():
-            self.world.burst(entry, TARGET, ANY_NUMBER, min(step.s, 0.6))
+            self.world.burst(entry, TARGET, BURST_REQUESTS, min(step.s, 0.6))
 
     def demand(self, step: Step) -> None:
         self.entry(step.which).weight = step.s * 10.0
 
     def cut(self, step: Step) -> None:
-        self.world.cuts.add(self._pair(step))
+        self.world.cut_links.add(self._pair(step))
 
     def isolate(self, step: Step) -> None:
         name = self.entry(step.which).name
-        self.world.cuts |= {frozenset((name, other)) for other in self.world.entries}
+        self.world.cut_links |= {frozenset((name, other)) for other in self.world.entries}
 
     def heal(self, _: Step) -> None:
-        self.world.cuts.clear()
+        self.world.cut_links.clear()
         self.world.delays_s.clear()
 
     def delay(self, step: Step) -> None:
@@ -76,55 +76,55 @@
 
     def take(self, step: Step) -> None:
         entry = self.entry(step.which)
-        entry.take(self.world.now_s + entry.clock_s)
+        entry.take_lease(self.world.now_s + entry.clock_s)
 
     def store_cut(self, step: Step) -> None:
-        self.entry(step.which).table.cut = True
+        self.entry(step.which).table.unreachable = True
 
     def store_deaf(self, step: Step) -> None:
         self.entry(step.which).table.answers_lost = True
 
     def store_heal(self, step: Step) -> None:
         table = self.entry(step.which).table
-        table.cut = table.answers_lost = False
+        table.unreachable = table.answers_lost = False
 
     def freeze(self, step: Step) -> None:
         self.entry(step.which).frozen = True
 
     def wake(self, step: Step) -> None:
-        self.world.wake(self.entry(step.which))
+        self.world.unfreeze(self.entry(step.which))
 
     def restart(self, step: Step) -> None:
-        self.world.join(self.entry(step.which).name)
+        self.world.start_entry(self.entry(step.which).name)
 
     def leave(self, step: Step) -> None:
         if len(self.world.entries) > 2:
             del self.world.entries[self.entry(step.which).name]
 
     def join(self, step: Step) -> None:
-        if self._joined < JOINS_AT_MOST:
+        if self._joined < MAX_JOINS:
             self._joined += 1
-            self.world.join(NodeId(f"new{self._joined}"))
+            self.world.start_entry(NodeId(f"new{self._joined}"))
 
     def _pair(self, step: Step) -> frozenset[NodeId]:
         return frozenset((self.entry(step.which).name, self.entry(step.other).name))
 
 
-ACTS: dict[str, Callable[[Play, Step], None]] = {
-    name: getattr(Play, name)
+ACTIONS: dict[str, Callable[[Scenario, Step], None]] = {
+    name: getattr(Scenario, name)
     for name in (
         *("burst", "burst_all", "demand", "cut", "isolate", "heal", "delay", "take"),
         *("store_cut", "store_deaf", "store_heal", "freeze", "wake", "restart", "leave", "join"),
     )
 }
 TIMES = st.sampled_from((0.0, 0.1, 0.3, 0.5, 0.9, 1.0, 1.2, 2.0, 3.0, 7.0))
-USUAL = st.sampled_from(("burst", "burst_all", "take"))
+FREQUENT_ACTIONS = st.sampled_from(("burst", "burst_all", "take"))
 STEPS = st.lists(
     st.builds(
         Step,
-        what=st.one_of(USUAL, st.sampled_from(tuple(ACTS))),
-        which=st.integers(0, SEEDS + JOINS_AT_MOST),
-        other=st.integers(0, SEEDS + JOINS_AT_MOST),
+        what=st.one_of(FREQUENT_ACTIONS, st.sampled_from(tuple(ACTIONS))),
+        which=st.integers(0, SEEDS + MAX_JOINS),
+        other=st.integers(0, SEEDS + MAX_JOINS),
         s=TIMES,
         then_s=TIMES,
     ),
@@ -141,17 +141,17 @@
     @settings(max_examples=400, deadline=None, database=None)
     @given(STEPS)
     def test_no_interleaving_sends_more_than_a_cold_target_bears(self, steps: list[Step]) -> None:
-        play = Play()
-        self.assertLessEqual(play.run(steps), ALLOWANCE)
-        self.assertLessEqual(play.world.most_lent, LENDABLE)
+        scenario = Scenario()
+        self.assertLessEqual(scenario.run(steps), ALLOWANCE)
+        self.assertLessEqual(scenario.world.max_borrowed, LENDABLE)
 
 
-BUSY = [step("demand", 1, s=7.0, then_s=8.0)]
+ONE_BORROWER = [step("demand", 1, s=7.0, then_s=8.0)]
 """Has the second entry borrow all that there is to lend."""
-TURN = [step("demand", 1, s=0.0), step("demand", 3, s=7.0)]
+MOVE_LOAN = [step("demand", 1, s=0.0), step("demand", 3, s=7.0)]
 """Has the fourth entry borrow it."""
 TWO_HOLDERS = [
-    *BUSY,
+    *ONE_BORROWER,
     *(step("cut", near, far) for near in (0, 1) for far in (2, 3, 4)),
     step("demand", 4, then_s=1.5),
     step("demand", 3, s=7.0),
@@ -160,13 +160,13 @@
     step("burst_all"),
 ]
 """Has the former holder lend on in its part of the site while another holds the lease."""
-TURNED = [*BUSY, *TURN, step("cut", 0, 1, then_s=0.6), step("burst_all")]
+LOAN_MOVED_UNNOTICED = [*ONE_BORROWER, *MOVE_LOAN, step("cut", 0, 1, then_s=0.6), step("burst_all")]
 """Has a share turn from one entry to another, which the first does not hear of."""
-HELD_UP = [
-    *BUSY,
+LOAN_DELAYED = [
+    *ONE_BORROWER,
     step("delay", 0, s=7.0, then_s=0.6),
     step("delay", 0, then_s=0.1),
-    *TURN,
+    *MOVE_LOAN,
     step("cut", 0, 1, then_s=6.9),
     step("burst_all"),
 ]
@@ -174,7 +174,7 @@
 LATE_CONNECTIONS = [step("burst_all", s=0.6, then_s=1.2), step("burst_all")]
 """Has requests that were chosen more than a second apart be written within one."""
 
-BACK_AT_ONCE = [
+RESTART_ALL = [
     step("burst_all"),
     *(step("restart", number) for number in range(SEEDS)),
     step("burst_all"),
@@ -182,29 +182,29 @@
 """Has every entry start again within the second."""
 
 
-class GuardsOutTests(testtools.TestCase):
+class GuardTests(testtools.TestCase):
     def assert_needed(self, steps: list[Step], without: Guards) -> None:
         """Check that steps keep the promise by a guard, and break it without."""
-        self.assertLessEqual(Play().run(steps), ALLOWANCE)
-        self.assertGreater(Play(without).run(steps), ALLOWANCE)
+        self.assertLessEqual(Scenario().run(steps), ALLOWANCE)
+        self.assertGreater(Scenario(without).run(steps), ALLOWANCE)
 
     def test_a_limit(self) -> None:
         self.assert_needed([step("burst")], Guards(limited=False))
 
-    def test_a_new_holder_that_waits_for_the_loans_of_the_former_one(self) -> None:
-        self.assert_needed(TWO_HOLDERS, Guards(quiet=False))
+    def test_a_new_holder_waits_for_the_loans_of_the_former_one(self) -> None:
+        self.assert_needed(TWO_HOLDERS, Guards(new_holder_waits=False))
 
-    def test_loans_that_count_until_they_have_lapsed(self) -> None:
-        self.assert_needed(TURNED, Guards(counted=False))
+    def test_loans_count_until_they_have_lapsed(self) -> None:
+        self.assert_needed(LOAN_MOVED_UNNOTICED, Guards(loans_counted=False))
 
-    def test_loans_that_last_from_their_echo(self) -> None:
-        self.assert_needed(HELD_UP, Guards(echoed=False))
+    def test_loans_last_from_their_echo(self) -> None:
+        self.assert_needed(LOAN_DELAYED, Guards(loans_from_echo=False))
 
-    def test_requests_that_count_until_they_were_written(self) -> None:
-        self.assert_needed(LATE_CONNECTIONS, Guards(held=False))
+    def test_requests_count_until_they_were_written(self) -> None:
+        self.assert_needed(LATE_CONNECTIONS, Guards(counted_until_written=False))
 
-    def test_lives_that_send_nothing_at_first(self) -> None:
-        self.assert_needed(BACK_AT_ONCE, Guards(opened_late=False))
+    def test_new_incarnations_send_nothing_at_first(self) -> None:
+        self.assert_needed(RESTART_ALL, Guards(starts_silent=False))
 
 
-__all__ = ["Play", "Step", "step"]
+__all__ = ["Scenario", "Step", "step"]
--- a/tests/direct/test_sendlimitrelay.py
+++ b/tests/direct/test_sendlimitrelay.py
@@ -31,7 +31,7 @@
     def wait_s(self, service: ServiceName, instance: InstanceId, now_s: float) -> float:
         return 0.0 if instance in self.allowed else WAIT_S
 
-    def sent(self, attempt: Attempt) -> None:
+    def record_sent(self, attempt: Attempt) -> None:
         self.attempts.append(attempt)
 
 
@@ -46,7 +46,7 @@
 
         self.run_with_relay(work, good, good)
 
-    def test_without_any_share_a_request_is_refused_as_not_run_with_a_true_time(self) -> None:
+    def test_without_any_share_a_request_is_refused_with_the_exact_wait(self) -> None:
         async def work(running: RunningRelay) -> None:
             running.fleet._limit = ScriptedLimit()
             answer = await running.send_request()
@@ -57,13 +57,13 @@
 
         self.run_with_relay(work, good, good)
 
-    def test_a_share_that_comes_back_within_the_patience_is_used(self) -> None:
+    def test_a_share_that_becomes_free_while_waiting_is_used(self) -> None:
         async def work(running: RunningRelay) -> None:
             limit = running.fleet._limit = ScriptedLimit()
-            asking = asyncio.create_task(running.send_request())
+            pending = asyncio.create_task(running.send_request())
             await asyncio.sleep(0.02)
             limit.allowed = ("t0",)
-            self.assertEqual(200, (await asking).status)
+            self.assertEqual(200, (await pending).status)
 
         self.run_with_relay(work, good)
 
@@ -99,7 +99,7 @@
     kind = RouteKind.STREAM
     resumable = True
 
-    def test_without_any_share_a_request_is_refused_as_not_run_with_a_true_time(self) -> None:
+    def test_without_any_share_a_request_is_refused_with_the_exact_wait(self) -> None:
         async def work(running: RunningRelay) -> None:
             running.fleet._limit = ScriptedLimit()
             answer = await running.send_request()
--- a/tests/direct/test_sendlimits.py
+++ b/tests/direct/test_sendlimits.py
@@ -10,121 +10,127 @@
 from ochreway_direct.leases.lease import LeaseState
 from ochreway_direct.sendlimits import standingshare
 from ochreway_direct.sendlimits.allowance import Allowance
-from ochreway_direct.sendlimits.lender import LAPSED_S, QUIET_S, Lender
-from ochreway_direct.sendlimits.loan import LENT_S
-from ochreway_direct.sendlimits.sendwindow import HELD_S
+from ochreway_direct.sendlimits.lender import LOAN_LAPSE_S, NEW_HOLDER_DELAY_S, Lender
+from ochreway_direct.sendlimits.loan import LOAN_DURATION_S
+from ochreway_direct.sendlimits.sendwindow import WINDOW_S
 from ochreway_direct.sendlimits.standingshare import (
-    ALONE_S,
-    HEADROOM,
-    REMEMBERED_S,
-    SETTLED_MESH_S,
-    SETTLED_S,
-    StandingShare,
+    ALONE_TIMEOUT_S,
+    ENTRY_RETENTION_S,
+    MESH_SETTLE_S,
+    MIN_HEADROOM,
+    SETTLE_S,
+    StaticShare,
 )
 from ochreway_standins.spreadworld import SpreadWorld, VirtualLoop, virtually
 from tests.direct.sendworld import ALLOWANCE, LENDABLE, SERVICE, SendEntry, SendWorld
 
 TARGET = InstanceId("i")
-PART = 37
+STATIC_AMOUNT = 37
 ENTRIES = 13
-BEAT_S = 1.0
+HEARTBEAT_INTERVAL_S = 1.0
 
 
 def nodes(number: int) -> list[NodeId]:
     return [NodeId(f"e{n}") for n in range(number)]
 
 
-def standing(names: list[NodeId], for_s: float = SETTLED_S) -> dict[NodeId, StandingShare]:
+def settled_shares(names: list[NodeId], duration_s: float = SETTLE_S) -> dict[NodeId, StaticShare]:
     """Return the shares of entries that have known each other for a while."""
-    shares = {name: StandingShare(name, len(names), 0.0) for name in names}
+    shares = {name: StaticShare(name, len(names), 0.0) for name in names}
     for name, share in shares.items():
         others = [each for each in names if each != name]
-        share.learn(others, True, 0.0)
-        share.learn(others, True, for_s)
+        share.update_entries(others, True, 0.0)
+        share.update_entries(others, True, duration_s)
     return shares
 
 
-def total(shares: dict[NodeId, StandingShare], part: int, now_s: float, target: str = "i") -> int:
-    return sum(each.of(part, InstanceId(target), now_s) for each in shares.values())
+def total(shares: dict[NodeId, StaticShare], amount: int, now_s: float, target: str = "i") -> int:
+    return sum(each.requests_for(amount, InstanceId(target), now_s) for each in shares.values())
 
 
-class StandingShareTests(testtools.TestCase):
+class StaticShareTests(testtools.TestCase):
     def test_shares_of_entries_that_know_each_other_add_up_to_no_more(self) -> None:
         for number in (1, 2, 5, 13, 24, 34, 36, 60, 300):
-            shares = standing(nodes(number))
+            shares = settled_shares(nodes(number))
             for target in range(5):
-                found = total(shares, PART, SETTLED_S, f"i{target}")
-                self.assertLessEqual(found, PART)
+                found = total(shares, STATIC_AMOUNT, SETTLE_S, f"i{target}")
+                self.assertLessEqual(found, STATIC_AMOUNT)
                 self.assertGreater(found, 0)
 
-    def test_as_many_as_there_is_headroom_for_may_be_unheard_of(self) -> None:
+    def test_as_many_entries_as_headroom_may_be_unknown(self) -> None:
         for number in (2, 5, 13, 33, 34, 35, 36, 60, 300):
-            unheard = max(HEADROOM, number // 8)
-            names = nodes(number + unheard)
-            known = standing(names[:number]) | {
-                name: share for name, share in standing(names).items() if name in names[number:]
+            unknown = max(MIN_HEADROOM, number // 8)
+            names = nodes(number + unknown)
+            known = settled_shares(names[:number]) | {
+                name: share
+                for name, share in settled_shares(names).items()
+                if name in names[number:]
             }
             for target in range(20):
-                self.assertLessEqual(total(known, PART, SETTLED_S, f"i{target}"), PART)
+                self.assertLessEqual(
+                    total(known, STATIC_AMOUNT, SETTLE_S, f"i{target}"), STATIC_AMOUNT
+                )
 
-    def test_without_headroom_entries_unheard_of_break_the_sum(self) -> None:
-        self.patch(standingshare, "HEADROOM", 0)
-        self.patch(standingshare, "HEADROOM_PART", 1000)
+    def test_without_headroom_unknown_entries_exceed_the_sum(self) -> None:
+        self.patch(standingshare, "MIN_HEADROOM", 0)
+        self.patch(standingshare, "ENTRIES_PER_HEADROOM", 1000)
         names = nodes(15)
-        known = standing(names[:13]) | {
-            name: share for name, share in standing(names).items() if name in names[13:]
+        known = settled_shares(names[:13]) | {
+            name: share for name, share in settled_shares(names).items() if name in names[13:]
         }
-        self.assertGreater(total(known, PART, SETTLED_S), PART)
+        self.assertGreater(total(known, STATIC_AMOUNT, SETTLE_S), STATIC_AMOUNT)
 
     def test_more_entries_than_requests_each_have_some_targets(self) -> None:
         names = nodes(60)
-        shares = standing(names)
+        shares = settled_shares(names)
         targets = [InstanceId(f"i{n}") for n in range(40)]
         for share in shares.values():
-            found = sum(share.of(PART, target, SETTLED_S) for target in targets)
+            found = sum(share.requests_for(STATIC_AMOUNT, target, SETTLE_S) for target in targets)
             self.assertGreater(found, len(targets) // 4)
 
     def test_an_entry_that_joins_takes_one_until_it_knows_the_others(self) -> None:
-        share = StandingShare(NodeId("new"), 3, 0.0)
-        share.learn(nodes(4), True, 0.0)
-        self.assertEqual(1, share.of(PART, TARGET, SETTLED_MESH_S - 0.1))
-        share.learn(nodes(13), True, SETTLED_MESH_S)
-        self.assertIn(share.of(PART, TARGET, SETTLED_MESH_S), (2, 3))
+        share = StaticShare(NodeId("new"), 3, 0.0)
+        share.update_entries(nodes(4), True, 0.0)
+        self.assertEqual(1, share.requests_for(STATIC_AMOUNT, TARGET, MESH_SETTLE_S - 0.1))
+        share.update_entries(nodes(13), True, MESH_SETTLE_S)
+        self.assertIn(share.requests_for(STATIC_AMOUNT, TARGET, MESH_SETTLE_S), (2, 3))
 
     def test_on_a_large_site_it_takes_longer_to_know_the_others(self) -> None:
-        share = StandingShare(NodeId("new"), 3, 0.0)
-        share.learn(nodes(30), True, 0.0)
-        large = 10 * PART
-        self.assertEqual(1, share.of(large, TARGET, SETTLED_S - 0.1))
-        self.assertGreater(share.of(large, TARGET, SETTLED_S), 1)
-
-    def test_an_entry_that_never_heard_others_goes_on_taking_one(self) -> None:
-        share = StandingShare(NodeId("new"), 3, 0.0)
+        share = StaticShare(NodeId("new"), 3, 0.0)
+        share.update_entries(nodes(30), True, 0.0)
+        large = 10 * STATIC_AMOUNT
+        self.assertEqual(1, share.requests_for(large, TARGET, SETTLE_S - 0.1))
+        self.assertGreater(share.requests_for(large, TARGET, SETTLE_S), 1)
+
+    def test_an_entry_that_never_connected_continues_to_take_one(self) -> None:
+        share = StaticShare(NodeId("new"), 3, 0.0)
         for now_s in range(100):
-            share.learn((), False, now_s)
-        self.assertEqual(1, share.of(PART, TARGET, 100.0))
+            share.update_entries((), False, now_s)
+        self.assertEqual(1, share.requests_for(STATIC_AMOUNT, TARGET, 100.0))
 
     def test_an_entry_that_is_cut_off_takes_one_after_a_while(self) -> None:
-        share = standing(nodes(3))[NodeId("e0")]
-        self.assertGreater(share.of(PART, TARGET, SETTLED_S + ALONE_S), 1)
-        self.assertEqual(1, share.of(PART, TARGET, SETTLED_S + ALONE_S + 0.1))
-
-    def test_an_entry_that_is_heard_again_takes_one_until_it_knows_the_others(self) -> None:
-        share = standing(nodes(3))[NodeId("e0")]
-        back_s = SETTLED_S + ALONE_S + 5.0
-        share.learn(nodes(3), True, back_s)
-        self.assertEqual(1, share.of(PART, TARGET, back_s + SETTLED_MESH_S - 0.1))
-        share.learn(nodes(3), True, back_s + SETTLED_MESH_S)
-        self.assertGreater(share.of(PART, TARGET, back_s + SETTLED_MESH_S), 1)
-
-    def test_an_entry_that_left_counts_for_long(self) -> None:
-        share = StandingShare(NodeId("me"), 2, 0.0)
-        share.learn(nodes(12), True, 0.0)
-        for beat in range(round(REMEMBERED_S / BEAT_S)):
-            share.learn(nodes(1), True, beat * BEAT_S)
-            self.assertEqual(ENTRIES, share.known)
-        share.learn(nodes(1), True, REMEMBERED_S)
-        self.assertEqual(2, share.known)
+        share = settled_shares(nodes(3))[NodeId("e0")]
+        self.assertGreater(share.requests_for(STATIC_AMOUNT, TARGET, SETTLE_S + ALONE_TIMEOUT_S), 1)
+        self.assertEqual(
+            1, share.requests_for(STATIC_AMOUNT, TARGET, SETTLE_S + ALONE_TIMEOUT_S + 0.1)
+        )
+
+    def test_a_reconnected_entry_takes_one_until_it_knows_the_others(self) -> None:
+        share = settled_shares(nodes(3))[NodeId("e0")]
+        back_s = SETTLE_S + ALONE_TIMEOUT_S + 5.0
+        share.update_entries(nodes(3), True, back_s)
+        self.assertEqual(1, share.requests_for(STATIC_AMOUNT, TARGET, back_s + MESH_SETTLE_S - 0.1))
+        share.update_entries(nodes(3), True, back_s + MESH_SETTLE_S)
+        self.assertGreater(share.requests_for(STATIC_AMOUNT, TARGET, back_s + MESH_SETTLE_S), 1)
+
+    def test_a_departed_entry_counts_until_the_retention_ends(self) -> None:
+        share = StaticShare(NodeId("me"), 2, 0.0)
+        share.update_entries(nodes(12), True, 0.0)
+        for beat in range(round(ENTRY_RETENTION_S / HEARTBEAT_INTERVAL_S)):
+            share.update_entries(nodes(1), True, beat * HEARTBEAT_INTERVAL_S)
+            self.assertEqual(ENTRIES, share.entry_count)
+        share.update_entries(nodes(1), True, ENTRY_RETENTION_S)
+        self.assertEqual(2, share.entry_count)
 
 
 class LenderTests(testtools.TestCase):
@@ -137,7 +143,7 @@
         loan = self.lender.lend(NodeId(f"e{node}"), {SERVICE: 16}, self.weights, now_s)
         return loan.shares.get(SERVICE, 0)
 
-    def test_all_of_it_is_lent_by_what_entries_are_asked_for(self) -> None:
+    def test_everything_is_lent_in_proportion_to_request_rates(self) -> None:
         self.weights[NodeId("e0")] = 3.0
         found = [self.lend(node, 0.0) for node in range(4)]
         self.assertEqual(16, sum(found))
@@ -147,29 +153,29 @@
         for node in range(4):
             self.assertEqual(4, self.lend(node, 0.0))
         self.weights = {NodeId("e0"): 0.0}
-        self.assertEqual(4, self.lend(0, LAPSED_S - 0.1))
-        self.assertEqual(16, self.lend(0, LAPSED_S))
+        self.assertEqual(4, self.lend(0, LOAN_LAPSE_S - 0.1))
+        self.assertEqual(16, self.lend(0, LOAN_LAPSE_S))
 
-    def test_an_entry_that_is_not_in_touch_is_lent_nothing(self) -> None:
+    def test_an_unconnected_entry_is_lent_nothing(self) -> None:
         self.assertEqual(0, self.lend(9, 0.0))
 
     def test_a_new_holder_waits_for_the_former_ones_loans(self) -> None:
-        self.assertFalse(self.lender.lends(0.0, 0.0))
-        self.lender.begin(1.0)
-        self.assertFalse(self.lender.lends(QUIET_S, QUIET_S + 0.9))
-        self.assertTrue(self.lender.lends(QUIET_S, QUIET_S + 1.0))
+        self.assertFalse(self.lender.may_lend(0.0, 0.0))
+        self.lender.on_lease_taken(1.0)
+        self.assertFalse(self.lender.may_lend(NEW_HOLDER_DELAY_S, NEW_HOLDER_DELAY_S + 0.9))
+        self.assertTrue(self.lender.may_lend(NEW_HOLDER_DELAY_S, NEW_HOLDER_DELAY_S + 1.0))
 
     def test_a_holder_that_cannot_renew_stops(self) -> None:
-        self.lender.begin(0.0)
-        self.assertTrue(self.lender.lends(20.0, 22.9))
-        self.assertFalse(self.lender.lends(20.0, 23.0))
+        self.lender.on_lease_taken(0.0)
+        self.assertTrue(self.lender.may_lend(20.0, 22.9))
+        self.assertFalse(self.lender.may_lend(20.0, 23.0))
 
 
 class FleetLimitTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.world = SendWorld(5)
-        self.world.run(SETTLED_S + 1.0)
+        self.world.run(SETTLE_S + 1.0)
 
     def burst(self, entry: SendEntry, connect_s: float = 0.0) -> int:
         return self.world.burst(entry, TARGET, 2 * ALLOWANCE, connect_s)
@@ -179,20 +185,22 @@
 
     def lend(self) -> None:
         entry = self.entry(0)
-        self.assertTrue(entry.take(self.world.now_s + entry.clock_s))
-        self.world.run(QUIET_S + 2.0)
+        self.assertTrue(entry.take_lease(self.world.now_s + entry.clock_s))
+        self.world.run(NEW_HOLDER_DELAY_S + 2.0)
 
     def loans(self) -> int:
-        return self.world._lent()
+        return self.world._borrowed()
 
     def test_an_allowance_by_rate_excess_and_slack(self) -> None:
-        self.assertEqual(Allowance(37, 16), Allowance.of(ColdStart(32.0, 3.0), 1.5, 5.0))
+        self.assertEqual(
+            Allowance(37, 16), Allowance.for_cold_start(ColdStart(32.0, 3.0), 1.5, 5.0)
+        )
 
     def test_all_that_may_be_lent_is_lent_and_lapses_with_its_holder(self) -> None:
         self.lend()
         self.assertEqual(LENDABLE, self.loans())
         del self.world.entries[NodeId("e0")]
-        self.world.run(LENT_S + 0.1)
+        self.world.run(LOAN_DURATION_S + 0.1)
         self.assertEqual(0, self.loans())
         self.assertIn("loan_lapsed", [name for e in self.entries() for name in e.log.names])
 
@@ -203,8 +211,8 @@
         self.lend()
         del self.world.entries[NodeId("e0")]
         other = self.entry(1)
-        self.assertTrue(other.take(self.world.now_s + other.clock_s))
-        self.world.run(QUIET_S - 0.5)
+        self.assertTrue(other.take_lease(self.world.now_s + other.clock_s))
+        self.world.run(NEW_HOLDER_DELAY_S - 0.5)
         self.assertEqual(0, self.loans())
         self.world.run(2.0)
         self.assertEqual(LENDABLE, self.loans())
@@ -212,37 +220,39 @@
     def test_targets_get_requests_while_nobody_holds_the_lease(self) -> None:
         self.assertGreater(sum(self.burst(entry) for entry in self.entries()), 0)
 
-    def test_a_cut_off_entry_keeps_its_standing_share_only(self) -> None:
+    def test_an_isolated_entry_keeps_only_its_static_share(self) -> None:
         self.lend()
         entry = self.entry(1)
         entry.weight = 9.0
         self.world.run(6.0)
         with_loan = self.burst(entry)
-        self.world.cuts |= {frozenset((entry.name, other)) for other in self.world.entries}
-        self.world.run(LENT_S + HELD_S)
-        alone = self.burst(entry)
-        self.assertLess(0, alone)
-        self.assertLess(alone, with_loan)
+        self.world.cut_links |= {frozenset((entry.name, other)) for other in self.world.entries}
+        self.world.run(LOAN_DURATION_S + WINDOW_S)
+        static_only = self.burst(entry)
+        self.assertLess(0, static_only)
+        self.assertLess(static_only, with_loan)
 
-    def test_a_loan_that_comes_late_is_none(self) -> None:
+    def test_a_late_loan_is_ignored(self) -> None:
         self.lend()
-        self.world.delays_s[NodeId("e0")] = LENT_S + 0.1
-        self.world.run(2 * LENT_S + 1.0)
+        self.world.delays_s[NodeId("e0")] = LOAN_DURATION_S + 0.1
+        self.world.run(2 * LOAN_DURATION_S + 1.0)
         entry = self.entry(1)
         self.assertEqual(0, entry.limit.loan_of(SERVICE, self.world.now_s + entry.clock_s))
 
-    def test_an_entry_that_is_back_sends_nothing_at_first(self) -> None:
+    def test_a_restarted_entry_sends_nothing_at_first(self) -> None:
         self.assertGreater(self.burst(self.entry(1)), 0)
-        back = self.world.join(NodeId("e1"))
+        restarted = self.world.start_entry(NodeId("e1"))
         self.world.run(0.5)
-        self.assertEqual(0, self.burst(back))
-        self.world.run(HELD_S)
-        self.assertGreater(self.burst(back), 0)
+        self.assertEqual(0, self.burst(restarted))
+        self.world.run(WINDOW_S)
+        self.assertGreater(self.burst(restarted), 0)
 
-    def test_what_waits_for_a_connection_counts_until_a_second_after_it_was_written(self) -> None:
+    def test_a_request_that_waits_for_a_connection_counts_until_a_second_after_its_write(
+        self,
+    ) -> None:
         entry = self.entry(1)
         self.assertGreater(self.burst(entry, connect_s=3.0), 0)
-        self.world.run(3.0 + HELD_S - 0.2)
+        self.world.run(3.0 + WINDOW_S - 0.2)
         self.assertEqual(0, self.burst(entry))
         self.world.run(0.4)
         self.assertGreater(self.burst(entry), 0)
@@ -253,14 +263,14 @@
             for entry in self.entries():
                 self.burst(entry)
             self.world.run(0.1)
-        self.assertLessEqual(self.world.most(), ALLOWANCE)
-        self.assertGreaterEqual(self.world.most(), ALLOWANCE // 2)
+        self.assertLessEqual(self.world.max_per_second(), ALLOWANCE)
+        self.assertGreaterEqual(self.world.max_per_second(), ALLOWANCE // 2)
 
-    def test_the_wait_that_is_told_is_true(self) -> None:
+    def test_the_returned_wait_is_accurate(self) -> None:
         entry = self.entry(1)
         self.burst(entry)
         wait_s = entry.limit.wait_s(SERVICE, TARGET, self.world.now_s + entry.clock_s)
-        self.assertAlmostEqual(HELD_S, wait_s, places=3)
+        self.assertAlmostEqual(WINDOW_S, wait_s, places=3)
         self.world.run(round(wait_s - 0.1, 1))
         self.assertEqual(0, self.burst(entry))
         self.world.run(0.2)
@@ -275,7 +285,7 @@
 class HeartbeatTests(testtools.TestCase):
     """What real heartbeats carry."""
 
-    def spread(self, entries: int, work: Callable[[SpreadWorld], None]) -> None:
+    def run_world(self, entries: int, work: Callable[[SpreadWorld], None]) -> None:
         def run(loop: VirtualLoop) -> None:
             world = SpreadWorld(loop, entries, 3)
             service = Service(SERVICE, 10, cold_start=ColdStart(32.0, 3.0))
@@ -294,7 +304,7 @@
     def lent(self, world: SpreadWorld) -> dict[NodeId, int]:
         return {n: e.limit.loan_of(SERVICE, world.now_s) for n, e in world.entries.items()}
 
-    def test_they_bring_loans_to_all_and_to_those_with_callers_first(self) -> None:
+    def test_heartbeats_bring_loans_to_all_and_most_to_busy_entries(self) -> None:
         def work(world: SpreadWorld) -> None:
             self.assertEqual(16, sum(self.lent(world).values()))
             busy = list(world.entries)[3]
@@ -305,19 +315,21 @@
             self.assertLessEqual(sum(found.values()), 16)
             self.assertGreater(found[busy], 6)
 
-        self.spread(ENTRIES, work)
+        self.run_world(ENTRIES, work)
 
     def test_an_entry_that_is_cut_off_has_no_loan(self) -> None:
         def work(world: SpreadWorld) -> None:
-            lone = list(world.entries)[3]
-            world.cut = lambda sender, receiver: lone in (sender, receiver)
-            world.run(LENT_S + 0.1)
-            self.assertEqual(0, self.lent(world)[lone])
+            isolated = list(world.entries)[3]
+            world.cut = lambda sender, receiver: isolated in (sender, receiver)
+            world.run(LOAN_DURATION_S + 0.1)
+            self.assertEqual(0, self.lent(world)[isolated])
 
-        self.spread(ENTRIES, work)
+        self.run_world(ENTRIES, work)
 
     def test_on_large_sites_heads_have_loans_and_no_more_is_lent(self) -> None:
-        self.spread(40, lambda world: self.assertIn(sum(self.lent(world).values()), range(1, 17)))
+        self.run_world(
+            40, lambda world: self.assertIn(sum(self.lent(world).values()), range(1, 17))
+        )
 
 
-__all__ = ["standing"]
+__all__ = ["settled_shares"]
