--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/__init__.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A limit for all entries together on what a target gets that may be cold."""
+"""Fleet-wide limit on requests to targets that may be cold."""
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/coldtargets.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/coldtargets.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which targets are known to be cold, by their rows in the platform's list."""
+"""Targets that the platform lists as cold."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -16,14 +16,14 @@
 
 
 class ColdTargets:
-    """Tell in the log and in a gauge which targets are cold; no limit depends on it."""
+    """Report cold targets in the log and in a gauge; no limit depends on them."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
         self._cold_targets: dict[InstanceId, _ColdTarget] = {}
 
     def record_list(self, targets: Iterable[ListedTarget], now_s: float) -> None:
-        """Take the list as it was read."""
+        """Record the cold targets of a list that was read."""
         current = {}
         for target in targets:
             if target.cold_s <= 0.0:
@@ -42,7 +42,7 @@
         )
 
     def is_cold(self, instance: InstanceId, now_s: float) -> bool:
-        """Tell whether a target was listed as cold until later than now."""
+        """Return whether a target is listed as cold until a later time than now."""
         known = self._cold_targets.get(instance)
         return known is not None and now_s < known.cold_until_s
 
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/fleetlimit.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/fleetlimit.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""This entry's part of what all entries together may send to targets that may be cold."""
+"""This entry's share of the fleet-wide limit on requests to targets that may be cold."""
 
 import math
 from collections.abc import Callable, Iterable, Mapping
@@ -22,10 +22,10 @@
 
 
 class FleetLimit(SendLimit):
-    """Keep what each target gets within a standing share and a loan, cold or not.
+    """Keep requests to each target within a static share and a loan, cold or not.
 
-    A target may turn cold at any moment, which this entry may hear of late or never; so what the
-    shares of all entries add up to is never more than what a cold one bears.
+    A target may turn cold at any moment, and this entry may learn of it late or never. Therefore
+    the sum of all entries' shares never exceeds what a cold target can take.
     """
 
     def __init__(
@@ -39,7 +39,10 @@
         log: EventLog,
         metrics: Metrics,
     ) -> None:
-        """Start without a loan; nothing is sent at first, as a former life may just have sent."""
+        """Start without a loan.
+
+        Nothing is sent within the first window, as a former incarnation may just have sent.
+        """
         self._services = services
         self._excess = excess
         self._slack = slack
@@ -53,10 +56,10 @@
         self._has_loan = False
         self._windows: dict[InstanceId, SendWindow] = {}
 
-    # What is learned.
+    # Updates
 
     def update_entries(self, names: Iterable[NodeId], any_alive: bool, now_s: float) -> None:
-        """Take the names of other entries, and whether any is heard; tell of a loan that lapsed."""
+        """Update the known entries and whether any is alive; log a loan that has lapsed."""
         self._static_share.update_entries(names, any_alive, now_s)
         self._windows = {i: w for i, w in self._windows.items() if w.count(now_s)}
         if self._has_loan and now_s >= self._loan_end_s:
@@ -64,7 +67,7 @@
             self._log.event("loan_lapsed")
 
     def borrow(self, loan: Loan, echo_s: float, now_s: float) -> None:
-        """Take a loan that came with the echo of what this entry sent at a time."""
+        """Accept a loan, valid from this entry's time that its heartbeat echoes."""
         self._loan = loan
         self._loan_end_s = echo_s + LOAN_DURATION_S
         if loan.shares and not self._has_loan and now_s < self._loan_end_s:
@@ -72,10 +75,10 @@
             shares = ",".join(f"{name}:{share}" for name, share in sorted(loan.shares.items()))
             self._log.event("loan", shares=shares)
 
-    # What is asked.
+    # Queries
 
     def allowances(self) -> Mapping[ServiceName, Allowance]:
-        """Return the allowance of each service that states what its cold targets bear."""
+        """Return the allowance of each service that has a cold start rate configured."""
         return {
             each.name: Allowance.for_cold_start(each.cold_start, self._excess, self._slack)
             for each in self._services()
@@ -87,15 +90,15 @@
         return {name: each.loan_total for name, each in self.allowances().items()}
 
     def loan_of(self, service: ServiceName, now_s: float) -> int:
-        """Return what this entry has on loan for each target of a service."""
+        """Return the requests per second this entry has borrowed for each target of a service."""
         return self._loan.shares.get(service, 0) if now_s < self._loan_end_s else 0
 
     def borrowed_total(self, now_s: float) -> int:
-        """Return the sum of what this entry has on loan."""
+        """Return the sum of what this entry has borrowed."""
         return sum(self._loan.shares.values()) if now_s < self._loan_end_s else 0
 
     def allows(self, service: ServiceName, instance: InstanceId, now_s: float) -> bool:
-        """Tell whether a target may be sent one more request now."""
+        """Return whether a target may be sent another request now."""
         share = self._share(service, instance, now_s)
         if share is None or self._count(instance, now_s) < share:
             return True
@@ -104,7 +107,7 @@
         return False
 
     def wait_s(self, service: ServiceName, instance: InstanceId, now_s: float) -> float:
-        """Return how long it takes until a target may be sent one more request; 0 if it may now."""
+        """Return how soon a target may be sent another request; 0 if it may now."""
         share = self._share(service, instance, now_s)
         if share is None:
             return 0.0
@@ -125,7 +128,7 @@
         window.add(attempt)
 
     def _share(self, service: ServiceName, instance: InstanceId, now_s: float) -> int | None:
-        """Return how many requests a second a target may get; None if there is no limit."""
+        """Return the limit on requests per second to a target; None if there is none."""
         allowance = self._allowance(service)
         if allowance is None:
             return None
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/lender.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/lender.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Lending parts of an allowance, as holder of the lease."""
+"""Lending of an allowance by the holder of the lease."""
 
 import math
 from collections import defaultdict
@@ -11,15 +11,15 @@
 from ochreway_direct.sendlimits.loan import LOAN_DURATION_S, Loan
 
 MAX_RENEWAL_AGE_S = 3.0
-"""For how long after it asked for its last good renewal a holder lends: a renewal and a half."""
+"""How long after the start of its last successful renewal a holder lends: 1.5 renewal intervals."""
 MAX_WRITE_DELAY_S = 0.6
-"""How long a connection to a target may take until a request that was chosen is written."""
+"""Longest time to connect to a target before a request that is under way is written."""
 LOAN_LAPSE_S = LOAN_DURATION_S + MAX_WRITE_DELAY_S + 1.0 + 0.2
-"""After what time nothing that was sent by a loan counts any more: with the second and a margin."""
+"""Time after which nothing sent under a loan counts: one second of the limit plus a margin."""
 NEW_HOLDER_DELAY_S = MAX_RENEWAL_AGE_S + LOAN_LAPSE_S
-"""How long a new holder lends nothing, until all loans of the former one have lapsed."""
+"""How long a new holder lends nothing, so that all loans of the former one have lapsed."""
 MIN_WEIGHT = 0.05
-"""What an entry without callers counts beside the others, in groups kept busy."""
+"""Weight of an entry without callers, in the number of groups kept busy."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,12 +29,12 @@
 
 
 class Lender:
-    """Lend by what entries are asked for, never more at a time than there is to lend."""
+    """Lend in proportion to the entries' demand, never more than the total at a time."""
 
     def __init__(
         self, new_holder_delay_s: float = NEW_HOLDER_DELAY_S, loan_lapse_s: float = LOAN_LAPSE_S
     ) -> None:
-        """Start with nothing lent; the times are those after which loans have surely lapsed."""
+        """Start with nothing lent; after the given times loans have certainly lapsed."""
         self._new_holder_delay_s = new_holder_delay_s
         self._loan_lapse_s = loan_lapse_s
         self._lease_taken_s = math.inf
@@ -43,11 +43,11 @@
         )
 
     def on_lease_taken(self, now_s: float) -> None:
-        """Note that the lease was taken now."""
+        """Record that the lease was acquired now."""
         self._lease_taken_s = now_s
 
     def may_lend(self, renewed_s: float, now_s: float) -> bool:
-        """Tell whether loans may be made by a lease that was last renewed at a time."""
+        """Return whether loans may be made with a lease that was last renewed at ``renewed_s``."""
         return (
             now_s - self._lease_taken_s >= self._new_holder_delay_s
             and now_s - renewed_s < MAX_RENEWAL_AGE_S
@@ -60,12 +60,12 @@
         weights: Mapping[NodeId, float],
         now_s: float,
     ) -> Loan:
-        """Return what an entry is lent now, and count it until it has lapsed.
+        """Make a loan to an entry, and count it as outstanding until it has lapsed.
 
         Args:
             node: the borrower.
-            parts: how much there is to lend for each service.
-            weights: what each entry is asked for.
+            amounts: how much may be lent in total for each service.
+            weights: demand at each entry.
             now_s: the time.
         """
         granted = {}
@@ -81,12 +81,12 @@
         return Loan(granted)
 
     def outstanding(self, service: ServiceName, now_s: float) -> int:
-        """Return how much may be in use of what was lent."""
+        """Return how much of what was lent may still be in use."""
         self._expire(service, now_s)
         return sum(_largest(loans) for loans in self._outstanding[service].values())
 
     def _outstanding_to_others(self, service: ServiceName, node: NodeId, now_s: float) -> int:
-        """Return how much entries other than one may still use of what was lent."""
+        """Return how much of what was lent may still be in use by other entries."""
         return self.outstanding(service, now_s) - _largest(self._outstanding[service].get(node, []))
 
     def _expire(self, service: ServiceName, now_s: float) -> None:
@@ -103,7 +103,7 @@
 
 
 def _portion(amount: int, weights: Mapping[NodeId, float], node: NodeId) -> int:
-    """Return an entry's portion by weight; what is left over goes to the largest remainders."""
+    """Return an entry's portion by weight; the leftover goes to the largest remainders."""
     if node not in weights:
         return 0
     total_weight = sum(MIN_WEIGHT + each for each in weights.values())
@@ -113,4 +113,4 @@
     return math.floor(exact[node]) + (node in order[:leftover])
 
 
-__all__ = ["LOAN_LAPSE_S", "NEW_HOLDER_DELAY_S", "MAX_RENEWAL_AGE_S", "MAX_WRITE_DELAY_S", "Lender"]
+__all__ = ["LOAN_LAPSE_S", "MAX_RENEWAL_AGE_S", "MAX_WRITE_DELAY_S", "NEW_HOLDER_DELAY_S", "Lender"]
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/loans.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/loans.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Loans as heartbeats carry them: made by the holder of the lease, taken by everyone."""
+"""Exchange of loans with heartbeats."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -11,10 +11,14 @@
 
 
 class Loans:
-    """Lend while this entry holds the lease, and borrow from whoever does.
+    """Lend while this entry holds the lease, and borrow from its holder.
 
     Args:
-        weights: returns what each entry in touch is asked for, this one too.
+        me: this entry.
+        limit: the limit that borrowed shares add to.
+        lease: the coordinator's lease.
+        weights: returns the demand at each connected entry, including this one.
+        lender: makes the loans; by default with the usual times.
     """
 
     def __init__(
@@ -33,14 +37,14 @@
         self._lease_taken_at = 0
 
     def refresh(self, names: Iterable[NodeId], any_alive: bool, now_s: float) -> None:
-        """Learn who there is, and lend to this entry itself."""
+        """Update the known entries, and lend to this entry itself."""
         self._limit.update_entries(names, any_alive, now_s)
         loan = self.lend(self._me, now_s)
         if loan is not None:
             self._limit.borrow(loan, now_s, now_s)
 
     def lend(self, node: NodeId, now_s: float) -> Loan | None:
-        """Return what an entry is lent with a heartbeat that is sent now."""
+        """Return the loan for a heartbeat that is sent to an entry now, if any."""
         if not self._lease.held:
             return None
         if self._lease_taken_at != self._lease.taken_at:
@@ -52,7 +56,7 @@
         return self._lender.lend(node, amounts, self._weights(now_s), now_s)
 
     def borrow(self, loan: Loan | None, echo_s: float | None, now_s: float) -> None:
-        """Take what a heartbeat lends, if it echoes what this life of the entry sent."""
+        """Accept a heartbeat's loan, if it echoes a time of this incarnation."""
         if loan is not None and echo_s is not None:
             self._limit.borrow(loan, echo_s, now_s)
 
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/sendlimit.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/sendlimit.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How much an entry may send to one target in a while."""
+"""Limits on what an entry sends to one target."""
 
 from abc import ABC, abstractmethod
 
@@ -9,15 +9,15 @@
 
 
 class SendLimit(ABC):
-    """Bound what this entry sends to each target."""
+    """Limit the requests that this entry sends to each target."""
 
     @abstractmethod
     def allows(self, service: ServiceName, instance: InstanceId, now_s: float) -> bool:
-        """Tell whether a target may be sent one more request now."""
+        """Return whether a target may be sent another request now."""
 
     @abstractmethod
     def wait_s(self, service: ServiceName, instance: InstanceId, now_s: float) -> float:
-        """Return how long it takes until a target may be sent one more request; 0 if it may now."""
+        """Return how soon a target may be sent another request; 0 if it may now."""
 
     @abstractmethod
     def record_sent(self, attempt: Attempt) -> None:
@@ -25,10 +25,10 @@
 
 
 class Unlimited(SendLimit):
-    """Allow everything."""
+    """Allow every request."""
 
     def allows(self, service: ServiceName, instance: InstanceId, now_s: float) -> bool:
-        """Tell that any request may be sent."""
+        """Return that any request may be sent."""
         return True
 
     def wait_s(self, service: ServiceName, instance: InstanceId, now_s: float) -> float:
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/sendwindow.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/sendwindow.py
@@ -1,17 +1,17 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The attempts at one target that may have been written within the last second."""
+"""Attempts at one target that may have been written within the last second."""
 
 from ochreway_direct.relay.attempt import Attempt
 
 WINDOW_S = 1.1
-"""For how long an attempt counts after it was written: the second of the limit and a margin.
+"""How long an attempt counts after it was written: the second of the limit and a margin.
 
-A write is noted some turns of the event loop before or after the bytes leave.
+A write is recorded some iterations of the event loop before or after the bytes are sent.
 """
 
 
 class SendWindow:
-    """Count attempts from when their target is chosen until some time after they were written."""
+    """Count attempts from the choice of their target until a window after they were written."""
 
     def __init__(self) -> None:
         self._attempts: list[Attempt] = []
@@ -28,7 +28,7 @@
         return len(self._attempts)
 
     def free_in_s(self, share: int, now_s: float, window_s: float = WINDOW_S) -> float:
-        """Return after what time fewer attempts than a share count, if none is added."""
+        """Return how soon fewer attempts than a share count, if none is added."""
         excess = self.count(now_s, window_s) - share
         if excess < 0:
             return 0.0
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/standingshare.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/standingshare.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The share of an allowance that an entry has by itself, from the entries that it knows."""
+"""Static share of an allowance, computed by each entry from the entries it knows."""
 
 import math
 from collections.abc import Iterable
@@ -10,33 +10,34 @@
 
 MIN_HEADROOM = 2
 ENTRIES_PER_HEADROOM = 8
-"""How many entries not known yet are provided for: a few, or one for so many that are known."""
+"""Headroom for unknown entries: one for each ``ENTRIES_PER_HEADROOM``, at least the minimum."""
 ENTRY_RETENTION_S = 300.0
-"""For how long an entry counts that nobody hears; one that is cut off still serves its callers."""
+"""How long a silent entry counts; one that is cut off still serves its callers."""
 SETTLE_S = 10.0
 MESH_SETTLE_S = 3.0
-"""How long an entry hears others before it goes by their number: all names have gone round.
+"""How long an entry is connected before it relies on its number of known entries.
 
-Heartbeats name all entries within 32 of them, and those of a mesh within three.
+By then all names have been propagated: heartbeats name all entries within 32 of them, and those of
+a mesh within three.
 """
 ALONE_TIMEOUT_S = 20.0
-"""For how long an entry that hears nobody goes by the number that it knew.
+"""How long an isolated entry relies on the number of entries that it knew.
 
-Meanwhile others may be added unheard; the headroom is for those.
+Meanwhile others may be added unnoticed; the headroom covers those.
 """
 MAX_RANKS = 5000
-"""How many targets' ranks are kept, those of targets that are gone too: some 0.5 MB."""
+"""Number of targets whose ranks are cached, including departed ones: some 0.5 MB."""
 
 
 class StaticShare:
-    """Divide the standing part of an allowance by the entries known, each entry for itself.
+    """Divide the static part of an allowance among the known entries, without coordination.
 
-    Entries may know of different others. The sum of their shares stays within the part while each
-    knows of all that run but as many as there is headroom for.
+    Entries may know different others. The sum of their shares stays within the part as long as no
+    entry misses more running entries than there is headroom for.
     """
 
     def __init__(self, me: NodeId, seeds: int, started_s: float) -> None:
-        """Start knowing nobody; there are at least as many entries as ``seeds``."""
+        """Start without known entries; there are at least as many as ``seeds``."""
         self._me = me
         self._seeds = seeds
         self._last_seen_s: dict[NodeId, float] = {}
@@ -46,7 +47,7 @@
         self._ranks: dict[InstanceId, int] = {}
 
     def update_entries(self, names: Iterable[NodeId], any_alive: bool, now_s: float) -> None:
-        """Take the names of other entries, and whether any of them is heard now."""
+        """Record the names of other entries, and whether any of them is alive now."""
         before = set(self._last_seen_s)
         for name in names:
             self._last_seen_s[name] = now_s
@@ -63,21 +64,22 @@
         self._last_connected_s = now_s
 
     def is_settled(self, now_s: float) -> bool:
-        """Tell whether the entries known are all that there are, but for a few new ones."""
+        """Return whether all entries are known, except for a few new ones."""
         alone = self._last_seen_s and now_s - self._last_connected_s > ALONE_TIMEOUT_S
         settle_s = MESH_SETTLE_S if self.entry_count <= MAX_MESH_ENTRIES else SETTLE_S
         return self._ever_connected and not alone and now_s - self._connected_since_s >= settle_s
 
     @property
     def entry_count(self) -> int:
-        """Return how many entries are counted, this one too."""
+        """Return the number of entries that are counted, including this one."""
         return max(1 + len(self._last_seen_s), self._seeds)
 
     def requests_for(self, amount: int, instance: InstanceId, now_s: float) -> int:
-        """Return how many requests a second a target may get from this entry.
+        """Return how many requests per second this entry may send to a target.
 
-        Each entry has the same number. Of what is left over, one each goes to the entries that
-        rank first for the target; as many as there is headroom for may take themselves to be.
+        Each entry gets the same number. The remainder goes, one each, to the entries that rank
+        first for the target. As many entries as there is headroom for may wrongly consider
+        themselves to be among these, so the remainder is reduced by the headroom.
         """
         headroom = max(MIN_HEADROOM, self.entry_count // ENTRIES_PER_HEADROOM)
         base, remainder = divmod(amount, self.entry_count + headroom)
@@ -87,10 +89,10 @@
         return base + (self._rank(instance) < extra_ranks)
 
     def equal_requests_for(self, amount: int, instance: InstanceId, now_s: float) -> int:
-        """Return an equal share of what all entries may send a target, for fleets of many.
+        """Return an equal share of what all entries may send to a target, for large fleets.
 
-        Unlike ``of`` it takes entries that are not known to be spread over all ranks, and takes
-        nothing before it knows the others.
+        Unlike ``requests_for`` it assumes that unknown entries are spread over all ranks, and it
+        returns 0 until the other entries are known.
         """
         if not self.is_settled(now_s):
             return 0
@@ -101,7 +103,7 @@
         return base + (self._rank(instance) < extra_ranks)
 
     def _rank(self, instance: InstanceId) -> int:
-        """Return how many entries come before this one for a target."""
+        """Return how many entries rank before this one for a target."""
         position = self._ranks.get(instance)
         if position is None:
             position = rank(instance, (self._me, *self._last_seen_s)).index(self._me)
@@ -111,9 +113,9 @@
 
 __all__ = [
     "ALONE_TIMEOUT_S",
-    "MIN_HEADROOM",
     "ENTRY_RETENTION_S",
     "MESH_SETTLE_S",
+    "MIN_HEADROOM",
     "SETTLE_S",
     "StaticShare",
 ]
--- a/tests/direct/sendworld.py
+++ b/tests/direct/sendworld.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Entries that send to targets through the real limit, over links and a store that fail."""
+"""Entries that send to targets through the real limit, with failing links and store."""
 
 import random
 from collections import defaultdict
@@ -30,7 +30,7 @@
 EXCESS = 1.5
 SLACK = 4.0
 ALLOWANCE = 10
-"""Little, so that hardly anything is left over: seven stand for all entries, three are lent."""
+"""Small, so that hardly anything is left over: seven are static shares, three are lent."""
 LENDABLE = 3
 HEARTBEAT_INTERVAL_S = 0.3
 LEASE_RENEW_S = 2.0
@@ -40,16 +40,16 @@
 
 
 def run_synchronously(work: Coroutine[Any, Any, T]) -> T:
-    """Run what waits for nothing."""
+    """Run a coroutine that never suspends."""
     try:
         work.send(None)
     except StopIteration as end:
         return end.value  # type: ignore[no-any-return]
-    raise AssertionError("it waits")
+    raise AssertionError("the coroutine suspended")
 
 
 class UnreliableTable(MemoryTable):
-    """Reach a table that all share, unless it is cut off or its answers are lost."""
+    """Give access to a shared table, unless it is unreachable or its answers are lost."""
 
     def __init__(self, shared: MemoryTable) -> None:
         super().__init__()
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Say what a heartbeat says of these matters."""
+    """Hold the fields of a heartbeat that concern loans."""
 
     sender: NodeId
     sent_s: float
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Guards:
-    """Say which guards are in force, to show that each is needed."""
+    """Switch single guards off, to show that each is needed."""
 
     limited: bool = True
     new_holder_waits: bool = True
@@ -93,7 +93,7 @@
 
 
 class SendEntry:
-    """Own an entry's limit, its loans and its clock."""
+    """An entry with its limit, its loans and its clock."""
 
     def __init__(self, world: "SendWorld", name: NodeId, incarnation: int, clock_s: float) -> None:
         self._world = world
@@ -154,7 +154,7 @@
 
 @dataclass(slots=True)
 class SendWorld:
-    """Move time on, carry messages, and note when requests are written to targets."""
+    """Advance time, deliver messages, and record when requests are written to targets."""
 
     seeds: int
     guards: Guards = Guards()
@@ -176,7 +176,7 @@
             self.start_entry(NodeId(f"e{number}"))
 
     def start_entry(self, name: NodeId) -> SendEntry:
-        """Start an entry, or another life of one; each instance has a clock of its own."""
+        """Start an entry, or a new incarnation of one; each instance has its own clock."""
         self._incarnations += 1
         clock_s = self._clocks_s.setdefault(name, 1000.0 * len(self._clocks_s))
         entry = SendEntry(self, name, self._incarnations, clock_s)
@@ -196,7 +196,7 @@
             self.max_borrowed = max(self.max_borrowed, self._borrowed())
 
     def _borrowed(self) -> int:
-        """Return what all entries have on loan now."""
+        """Return what all entries have borrowed now."""
         loans = (e.limit.loan_of(SERVICE, self.now_s + e.clock_s) for e in self.entries.values())
         return sum(loans)
 
@@ -224,14 +224,14 @@
                 )
 
     def unfreeze(self, entry: SendEntry) -> None:
-        """Let an entry go on that stood still; it finds what came meanwhile."""
+        """Let a frozen entry continue; it then receives what was sent meanwhile."""
         entry.frozen = False
         backlog, entry.undelivered = entry.undelivered, []
         for heartbeat in backlog:
             entry.on_heartbeat(heartbeat, self.now_s + entry.clock_s, self.guards.loans_from_echo)
 
     def burst(self, entry: SendEntry, target: InstanceId, number: int, connect_s: float) -> int:
-        """Have an entry try to send requests at once; return how many were sent."""
+        """Let an entry try to send requests at once; return how many were sent."""
         sent = 0
         for _ in range(number):
             now_s = self.now_s + entry.clock_s
@@ -257,7 +257,7 @@
                     attempt.record_written(self.now_s + entry.clock_s)
 
     def max_per_second(self) -> int:
-        """Return the most requests that any target got within a second."""
+        """Return the most requests that any target received within a second."""
         return max((_max_within_second(times) for times in self.written.values()), default=0)
 
 
--- a/tests/direct/test_coldtargets.py
+++ b/tests/direct/test_coldtargets.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What is known of cold targets, and which members lead."""
+"""Known cold targets, and the choice of leaders among cold members."""
 
 import testtools
 
--- a/tests/direct/test_sendlimitproperty.py
+++ b/tests/direct/test_sendlimitproperty.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Whatever happens to entries, links and the store, a target gets no more than it bears."""
+"""A cold target never gets more than it can take, whatever fails: entries, links or the store."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,14 +14,14 @@
 TARGET = InstanceId("i")
 SEEDS = 5
 MAX_JOINS = 2
-"""As many as a standing share has headroom for, should nobody hear of them."""
+"""As many as a static share has headroom for, in case no entry learns of them."""
 BURST_REQUESTS = 80
 ALL_GUARDS = Guards()
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """Do something to an entry, which may involve another and a time, then let time pass."""
+    """An action on an entry, possibly with another entry and a time, and the wait after it."""
 
     what: str
     which: int
@@ -31,7 +31,7 @@
 
 
 class Scenario:
-    """Carry steps out on a world."""
+    """Carry out steps on a world."""
 
     def __init__(self, guards: Guards = ALL_GUARDS) -> None:
         self.world = SendWorld(SEEDS, guards)
@@ -41,7 +41,7 @@
         self.world.run(8.0)
 
     def run(self, steps: list[Step]) -> int:
-        """Return the most requests that the target got within a second."""
+        """Return the most requests that the target received within a second."""
         for step in steps:
             ACTIONS[step.what](self, step)
             self.world.run(step.then_s)
@@ -147,9 +147,9 @@
 
 
 ONE_BORROWER = [step("demand", 1, s=7.0, then_s=8.0)]
-"""Has the second entry borrow all that there is to lend."""
+"""The second entry borrows everything that may be lent."""
 MOVE_LOAN = [step("demand", 1, s=0.0), step("demand", 3, s=7.0)]
-"""Has the fourth entry borrow it."""
+"""The fourth entry borrows it."""
 TWO_HOLDERS = [
     *ONE_BORROWER,
     *(step("cut", near, far) for near in (0, 1) for far in (2, 3, 4)),
@@ -159,9 +159,9 @@
     step("take", 2, then_s=0.9),
     step("burst_all"),
 ]
-"""Has the former holder lend on in its part of the site while another holds the lease."""
+"""The former holder continues to lend in its part of the site while another holds the lease."""
 LOAN_MOVED_UNNOTICED = [*ONE_BORROWER, *MOVE_LOAN, step("cut", 0, 1, then_s=0.6), step("burst_all")]
-"""Has a share turn from one entry to another, which the first does not hear of."""
+"""A loan moves from one entry to another, and the first does not learn of it."""
 LOAN_DELAYED = [
     *ONE_BORROWER,
     step("delay", 0, s=7.0, then_s=0.6),
@@ -170,21 +170,21 @@
     step("cut", 0, 1, then_s=6.9),
     step("burst_all"),
 ]
-"""Has a loan come seven seconds late, when another entry has its share."""
+"""A loan arrives seven seconds late, when it has been lent to another entry."""
 LATE_CONNECTIONS = [step("burst_all", s=0.6, then_s=1.2), step("burst_all")]
-"""Has requests that were chosen more than a second apart be written within one."""
+"""Requests allowed more than a second apart are written within one second."""
 
 RESTART_ALL = [
     step("burst_all"),
     *(step("restart", number) for number in range(SEEDS)),
     step("burst_all"),
 ]
-"""Has every entry start again within the second."""
+"""Every entry restarts within the second."""
 
 
 class GuardTests(testtools.TestCase):
     def assert_needed(self, steps: list[Step], without: Guards) -> None:
-        """Check that steps keep the promise by a guard, and break it without."""
+        """Check that steps respect the limit with a guard, and break it without."""
         self.assertLessEqual(Scenario().run(steps), ALLOWANCE)
         self.assertGreater(Scenario(without).run(steps), ALLOWANCE)
 
--- a/tests/direct/test_sendlimitrelay.py
+++ b/tests/direct/test_sendlimitrelay.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Requests that find only targets whose share is used up, and what counts as written."""
+"""Requests to targets whose share is used up, and when a request counts as written."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 class ScriptedLimit(SendLimit):
-    """Allow some targets, and keep what is sent."""
+    """Allow some targets, and record what is sent."""
 
     def __init__(self, *allowed: str) -> None:
         self.allowed = allowed
--- a/tests/direct/test_sendlimits.py
+++ b/tests/direct/test_sendlimits.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What becomes of the shares of a cold target's allowance, one failure each."""
+"""Shares of a cold target's allowance under single failures."""
 
 from collections.abc import Callable
 
@@ -283,7 +283,7 @@
 
 
 class HeartbeatTests(testtools.TestCase):
-    """What real heartbeats carry."""
+    """Loans exchanged by real heartbeats."""
 
     def run_world(self, entries: int, work: Callable[[SpreadWorld], None]) -> None:
         def run(loop: VirtualLoop) -> None:
