--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/capacities.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/capacities.py
@@ -39,7 +39,8 @@
 ) -> dict[DomainId, Capacity]:
     """Return the same capacities as if every engine had all weights."""
     return {
-        domain: Capacity({_all_models(spec): room.total}) for domain, room in capacities.items()
+        domain: Capacity({_all_models(spec): capacity.total})
+        for domain, capacity in capacities.items()
     }
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/formation.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/formation.py
@@ -77,7 +77,7 @@
         free, current = census.free, census.current
         inside = Counter({slot: n for slot, n in current.items() if slot.domain != SPANNING})
         capacities = current_capacities(self._state, spec, census)
-        engines = sum(room.total for room in capacities.values())
+        engines = sum(capacity.total for capacity in capacities.values())
         model_demand = self._state.demand.by_model(spec, engines)
         scenarios = self._state.demand.scenarios(spec, engines)
         downtime_share, threshold = self._state.downtime_share, self._state.min_utility
@@ -101,7 +101,7 @@
         awaiting_domains = {slot.domain for slot in awaited}
         spare: EnginesByDomain = defaultdict(list)
         spare.update(
-            {domain: found for domain, found in free.items() if domain not in awaiting_domains}
+            {domain: records for domain, records in free.items() if domain not in awaiting_domains}
         )
         if self._state.tuning.spanning:
             self._spanning.form_groups(
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/layout.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/layout.py
@@ -81,7 +81,7 @@
         self._current_totals = groups_per_model(current)
         self._totals: Counter[ModelName] = Counter()
         self._shares = work_shares(spec)
-        self._engines = sum(room.total for room in capacities.values())
+        self._engines = sum(capacity.total for capacity in capacities.values())
 
     def fill(self) -> None:
         """Add groups while one more has enough utility and fits."""
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/placement.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/placement.py
@@ -42,7 +42,7 @@
         self.capacities = capacities
         self.current = current
         self.placed: Counter[GroupSlot] = Counter()
-        self._remaining = {domain: room.total for domain, room in capacities.items()}
+        self._remaining = {domain: capacity.total for domain, capacity in capacities.items()}
         self._members: dict[DomainId, Counter[ModelName]] = defaultdict(Counter)
         self._order = {domain: n for n, domain in enumerate(sorted(capacities, reverse=True))}
         self._queues: dict[ModelName, list[tuple[Preference, GroupSlot]]] = {}
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/staging.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/staging.py
@@ -114,8 +114,8 @@
                 inventory = inventories[GroupSlot(record.domain, model.name)]
                 self._count_engine(inventory, record, model, uses[record.instance])
         totals = groups_per_model(formable_now)
-        rate, down = self._state.loss_meter.losses_per_engine_s, self._state.downtime_share
-        return LoadUtility(spec, outlook.scenarios, totals, rate, down, inventories)
+        loss_rate, downtime = self._state.loss_meter.losses_per_engine_s, self._state.downtime_share
+        return LoadUtility(spec, outlook.scenarios, totals, loss_rate, downtime, inventories)
 
     def _count_engine(
         self, inventory: Inventory, record: EngineRecord, model: ModelSpec, use: Use
