--- a/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
@@ -187,7 +187,7 @@
         known_addresses = {peer.address for peer in self._peers.all_peers()}
         for address in self._seeds:
             if address and address != self._me.peer.address and address not in known_addresses:
-                self._links.meet(address)
+                self._links.dial_address(address)
 
     def _own_work(self, now_s: float) -> Work:
         fleet = self._serving.fleet
--- a/packages/ochreway-standins/src/ochreway_standins/spreadworld.py
+++ b/packages/ochreway-standins/src/ochreway_standins/spreadworld.py
@@ -37,7 +37,7 @@
 from ochreway_routing.crashbook import CrashBook
 from ochreway_runtime.logs import EventLog
 from ochreway_runtime.metrics import Metrics
-from ochreway_wire.batch import Prepared, encode_batch
+from ochreway_wire.batch import PreparedMessage, encode_batch
 
 STEP_S = 0.05
 SEEDS = 3
@@ -80,7 +80,7 @@
         """Give a link up; the next message goes over a new one."""
         self._world.silenced -= {(self._me.node, node), (node, self._me.node)}
 
-    def meet(self, address: str) -> None:
+    def dial_address(self, address: str) -> None:
         """Get to know the entry at an address."""
         self._world.introduce(self._me, address)
 
@@ -191,7 +191,7 @@
         """Take a message to be delivered."""
         self.sent[sender.node] += 1
         if self.weigh:
-            whole = message if isinstance(message, Prepared) else Prepared(message)
+            whole = message if isinstance(message, PreparedMessage) else PreparedMessage(message)
             self.sent_bytes[sender.node] += len(encode_batch(Version(1), [whole]))
         self._mail.append((sender, receiver, message))
 
--- a/packages/ochreway-wire/src/ochreway_wire/batch.py
+++ b/packages/ochreway-wire/src/ochreway_wire/batch.py
@@ -12,7 +12,7 @@
 from ochreway_core.message import MESSAGES, TAGS
 from ochreway_wire.errors import BatchInvalid
 
-BATCH_BYTES_AT_MOST = 8 * 1024 * 1024
+MAX_BATCH_BYTES = 8 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
     messages: tuple[object, ...]
 
 
-class Prepared:
+class PreparedMessage:
     """Hold a message that goes to several processes, whose fields are taken apart only once."""
 
     __slots__ = ("_fields", "_message")
@@ -36,20 +36,20 @@
     def fields(self) -> list[Any]:
         """Return the message's tag and plain fields."""
         if self._fields is None:
-            self._fields = _fields(self._message)
+            self._fields = _encode_fields(self._message)
         return self._fields
 
 
 def encode_batch(version: Version, messages: list[object]) -> bytes:
-    """Return a batch as CBOR; messages may be ``Prepared``."""
-    return cbor2.dumps([version, [_item(each) for each in messages]])
+    """Return a batch as CBOR; messages may be ``PreparedMessage``."""
+    return cbor2.dumps([version, [_encode_item(each) for each in messages]])
 
 
-def _item(message: object) -> list[Any]:
-    return message.fields if isinstance(message, Prepared) else _fields(message)
+def _encode_item(message: object) -> list[Any]:
+    return message.fields if isinstance(message, PreparedMessage) else _encode_fields(message)
 
 
-def _fields(message: object) -> list[Any]:
+def _encode_fields(message: object) -> list[Any]:
     return [TAGS[type(message)], *to_fields(message)]
 
 
@@ -61,16 +61,16 @@
     """
     try:
         version, items = cbor2.loads(content)
-        return Batch(Version(int(version)), tuple(_message(item) for item in items))
-    except (cbor2.CBORDecodeError, CodecError, ValueError, TypeError, EOFError) as fault:
-        raise BatchInvalid(str(fault)) from fault
+        return Batch(Version(int(version)), tuple(_decode_message(item) for item in items))
+    except (cbor2.CBORDecodeError, CodecError, ValueError, TypeError, EOFError) as error:
+        raise BatchInvalid(str(error)) from error
 
 
-def _message(item: list[Any]) -> object:
-    kind = MESSAGES.get(item[0])
-    if kind is None:
+def _decode_message(item: list[Any]) -> object:
+    message_type = MESSAGES.get(item[0])
+    if message_type is None:
         raise BatchInvalid(f"unknown message {item[0]}")
-    return from_fields(kind, item[1:])
+    return from_fields(message_type, item[1:])
 
 
-__all__ = ["BATCH_BYTES_AT_MOST", "Batch", "Prepared", "decode_batch", "encode_batch"]
+__all__ = ["MAX_BATCH_BYTES", "Batch", "PreparedMessage", "decode_batch", "encode_batch"]
--- a/packages/ochreway-wire/src/ochreway_wire/handshake.py
+++ b/packages/ochreway-wire/src/ochreway_wire/handshake.py
@@ -40,22 +40,22 @@
     return Hello(PROTOCOLS, me.node, me.address, os.urandom(NONCE_BYTES))
 
 
-def proof(key: bytes, prover: bytes, verifier: bytes) -> bytes:
+def compute_proof(key: bytes, prover: bytes, verifier: bytes) -> bytes:
     """Return the proof that the prover's hello was sent by a holder of the key."""
     return hmac.digest(key, b"ochreway link\0" + prover + verifier, hashlib.sha256)
 
 
-def check_proof(key: bytes, prover: bytes, verifier: bytes, given: bytes) -> None:
+def verify_proof(key: bytes, prover: bytes, verifier: bytes, received_proof: bytes) -> None:
     """Check a proof.
 
     Raises:
         HandshakeRefused: when it does not match.
     """
-    if not hmac.compare_digest(proof(key, prover, verifier), given):
+    if not hmac.compare_digest(compute_proof(key, prover, verifier), received_proof):
         raise HandshakeRefused("the other end does not hold the link key")
 
 
-def read_hello(content: bytes) -> Hello:
+def decode_hello(content: bytes) -> Hello:
     """Read the other end's hello.
 
     Raises:
@@ -63,16 +63,16 @@
     """
     try:
         hello = decode(Hello, content)
-    except CodecError as fault:
-        raise HandshakeRefused(str(fault)) from fault
+    except CodecError as error:
+        raise HandshakeRefused(str(error)) from error
     if not set(hello.protocols) & set(PROTOCOLS):
         raise HandshakeRefused(f"no common protocol: {hello.protocols} and {PROTOCOLS}")
     return hello
 
 
-def hello_bytes(hello: Hello) -> bytes:
+def encode_hello(hello: Hello) -> bytes:
     """Return a hello as bytes."""
     return encode(hello)
 
 
-__all__ = ["Hello", "check_proof", "hello_bytes", "new_hello", "proof", "read_hello"]
+__all__ = ["Hello", "verify_proof", "encode_hello", "new_hello", "compute_proof", "decode_hello"]
--- a/packages/ochreway-wire/src/ochreway_wire/link.py
+++ b/packages/ochreway-wire/src/ochreway_wire/link.py
@@ -12,9 +12,9 @@
 from ochreway_wire.batch import Batch, decode_batch, encode_batch
 from ochreway_wire.errors import BatchInvalid
 
-WAITING_AT_MOST = 100_000
+MAX_QUEUED_MESSAGES = 100_000
 MESSAGES_PER_BATCH = 4096
-CLOSE_S = 0.3
+CLOSE_TIMEOUT_S = 0.3
 """How long the other end has to take what is queued and to agree to close: a few round trips.
 
 One that is stopped or cut off does neither, and would hold up a process that has to end.
@@ -31,52 +31,52 @@
         self._socket = socket
         self._version = version
         self._tick_s = tick_s
-        self._waiting: list[object] = []
+        self._queue: list[object] = []
         self._wake = asyncio.Event()
         self.sent_bytes = 0
         self.received_bytes = 0
 
     def send(self, message: object) -> bool:
         """Queue a message; False when too many wait and the link is given up."""
-        if len(self._waiting) >= WAITING_AT_MOST:
+        if len(self._queue) >= MAX_QUEUED_MESSAGES:
             self.abort()
             return False
-        self._waiting.append(message)
+        self._queue.append(message)
         self._wake.set()
         return True
 
-    async def write(self) -> None:
+    async def run_writer(self) -> None:
         """Send what is queued until the link ends."""
         loop = asyncio.get_running_loop()
-        flushed_s = 0.0
+        last_flush_s = 0.0
         try:
             while True:
                 await self._wake.wait()
-                early_s = flushed_s + self._tick_s - loop.time()
-                if early_s > 0:
-                    await asyncio.sleep(early_s)
+                wait_s = last_flush_s + self._tick_s - loop.time()
+                if wait_s > 0:
+                    await asyncio.sleep(wait_s)
                 self._wake.clear()
-                flushed_s = loop.time()
+                last_flush_s = loop.time()
                 await self._flush()
         except ConnectionClosed:
             return
 
     async def _flush(self) -> None:
-        while self._waiting:
-            batch = self._waiting[:MESSAGES_PER_BATCH]
-            del self._waiting[:MESSAGES_PER_BATCH]
+        while self._queue:
+            batch = self._queue[:MESSAGES_PER_BATCH]
+            del self._queue[:MESSAGES_PER_BATCH]
             content = encode_batch(self._version(), batch)
             self.sent_bytes += len(content)
             await self._socket.send(content)
 
-    async def read(self, received: Callable[[Peer, Batch], None]) -> None:
+    async def run_reader(self, on_batch: Callable[[Peer, Batch], None]) -> None:
         """Pass on what comes until the link ends or breaks the protocol."""
         try:
             async for content in self._socket:
                 if not isinstance(content, bytes):
                     raise BatchInvalid("text")
                 self.received_bytes += len(content)
-                received(self.peer, decode_batch(content))
+                on_batch(self.peer, decode_batch(content))
         except (ConnectionClosed, BatchInvalid):
             return
 
@@ -87,7 +87,7 @@
     async def close(self) -> None:
         """Send what is queued and close; break off when the other end does not follow in time."""
         try:
-            async with asyncio.timeout(CLOSE_S):
+            async with asyncio.timeout(CLOSE_TIMEOUT_S):
                 await self._flush()
                 await self._socket.close()
         except ConnectionClosed:
--- a/packages/ochreway-wire/src/ochreway_wire/links.py
+++ b/packages/ochreway-wire/src/ochreway_wire/links.py
@@ -15,25 +15,31 @@
 
 from ochreway_core.ids import NodeId, Version
 from ochreway_core.peer import Peer
-from ochreway_wire.batch import BATCH_BYTES_AT_MOST, Batch, Prepared
+from ochreway_wire.batch import MAX_BATCH_BYTES, Batch, PreparedMessage
 from ochreway_wire.errors import HandshakeRefused
-from ochreway_wire.handshake import check_proof, hello_bytes, new_hello, proof, read_hello
+from ochreway_wire.handshake import (
+    compute_proof,
+    decode_hello,
+    encode_hello,
+    new_hello,
+    verify_proof,
+)
 from ochreway_wire.link import Link
 
 HANDSHAKE_TIMEOUT_S = 2.0
-UNANSWERED_MS = 4000
+ACK_TIMEOUT_MS = 4000
 """After how long without an acknowledgement the kernel gives a connection up.
 
 It costs nothing while a link is idle, which pings would; that a process is stopped though
 its kernel answers is noticed by the heartbeats and reports above.
 """
-QUEUED_WHILE_DIALLING = 1024
-UNNAMED = NodeId("")
+MAX_QUEUED_WHILE_DIALLING = 1024
+UNKNOWN_NODE = NodeId("")
 """Stands for a process whose name is learned from its hello."""
 
-Received = Callable[[Peer, Batch], None]
-Down = Callable[[NodeId], None]
-Up = Callable[[Peer], None]
+BatchHandler = Callable[[Peer, Batch], None]
+LinkDownHandler = Callable[[NodeId], None]
+LinkUpHandler = Callable[[Peer], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,19 +70,19 @@
         me: Peer,
         settings: LinkSettings,
         version: Callable[[], Version],
-        received: Received,
-        down: Down,
-        up: Up | None = None,
+        on_batch: BatchHandler,
+        on_down: LinkDownHandler,
+        on_up: LinkUpHandler | None = None,
     ) -> None:
         self._me = me
         self._settings = settings
         self._version = version
-        self._received = received
-        self._down = down
-        self._up = up
+        self._on_batch = on_batch
+        self._on_down = on_down
+        self._on_up = on_up
         self._links: dict[NodeId, Link] = {}
-        self._dialling: dict[NodeId, list[object]] = {}
-        self._meeting: set[str] = set()
+        self._queued_while_dialling: dict[NodeId, list[object]] = {}
+        self._addresses_dialling: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: Server | None = None
 
@@ -90,12 +96,12 @@
             host,
             port,
             ssl=self._settings.server_tls,
-            max_size=BATCH_BYTES_AT_MOST,
+            max_size=MAX_BATCH_BYTES,
             compression=self._settings.compression,
             ping_interval=None,
         )
-        bound: int = next(iter(self._server.sockets)).getsockname()[1]
-        return bound
+        bound_port: int = next(iter(self._server.sockets)).getsockname()[1]
+        return bound_port
 
     def send(self, peer: Peer, message: object) -> None:
         """Send a message, dialling when there is no link."""
@@ -103,16 +109,16 @@
         if link is not None:
             link.send(message)
             return
-        queued = self._dialling.get(peer.node)
+        queued = self._queued_while_dialling.get(peer.node)
         if queued is None:
-            self._dialling[peer.node] = [message]
+            self._queued_while_dialling[peer.node] = [message]
             self._spawn(self._dial(peer))
-        elif len(queued) < QUEUED_WHILE_DIALLING:
+        elif len(queued) < MAX_QUEUED_WHILE_DIALLING:
             queued.append(message)
 
     def send_all(self, peers: Iterable[Peer], message: object) -> None:
         """Send the same message to several processes, encoded once."""
-        prepared = Prepared(message)
+        prepared = PreparedMessage(message)
         for peer in peers:
             self.send(peer, prepared)
 
@@ -122,20 +128,20 @@
         if link is not None:
             link.abort()
 
-    def meet(self, address: str) -> None:
+    def dial_address(self, address: str) -> None:
         """Dial a process whose name is not known, unless that is under way already."""
-        if address not in self._meeting:
-            self._meeting.add(address)
-            self._spawn(self._meet(address))
+        if address not in self._addresses_dialling:
+            self._addresses_dialling.add(address)
+            self._spawn(self._dial_address(address))
 
-    async def _meet(self, address: str) -> None:
+    async def _dial_address(self, address: str) -> None:
         try:
-            await self._dial(Peer(UNNAMED, address))
+            await self._dial(Peer(UNKNOWN_NODE, address))
         finally:
-            self._meeting.discard(address)
+            self._addresses_dialling.discard(address)
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -145,57 +151,57 @@
             async with connect(
                 f"{scheme}://{peer.address}/",
                 ssl=self._settings.client_tls,
-                max_size=BATCH_BYTES_AT_MOST,
+                max_size=MAX_BATCH_BYTES,
                 compression=self._settings.compression,
                 open_timeout=HANDSHAKE_TIMEOUT_S,
                 ping_interval=None,
                 proxy=None,
             ) as socket:
-                met = await self._shake(socket, dialled=True)
-                if peer.node not in (met.node, UNNAMED):
-                    raise HandshakeRefused(f"{peer.address} is {met.node}, not {peer.node}")
-                await self._run(socket, met)
+                remote = await self._perform_handshake(socket, dialled=True)
+                if peer.node not in (remote.node, UNKNOWN_NODE):
+                    raise HandshakeRefused(f"{peer.address} is {remote.node}, not {peer.node}")
+                await self._run_link(socket, remote)
         except (TimeoutError, OSError, HandshakeRefused, ConnectionClosed):
-            self._undialled(peer.node)
+            self._on_dial_failed(peer.node)
         except (InvalidHandshake, InvalidMessage):
-            self._undialled(peer.node)
+            self._on_dial_failed(peer.node)
 
-    def _undialled(self, node: NodeId) -> None:
-        if self._dialling.pop(node, None) is not None:
-            self._down(node)
+    def _on_dial_failed(self, node: NodeId) -> None:
+        if self._queued_while_dialling.pop(node, None) is not None:
+            self._on_down(node)
 
     async def _accept(self, socket: ServerConnection) -> None:
         with contextlib.suppress(HandshakeRefused, asyncio.TimeoutError, ConnectionClosed):
-            peer = await self._shake(socket, dialled=False)
-            await self._run(socket, peer)
+            peer = await self._perform_handshake(socket, dialled=False)
+            await self._run_link(socket, peer)
 
-    async def _shake(self, socket: Connection, dialled: bool) -> Peer:
+    async def _perform_handshake(self, socket: Connection, dialled: bool) -> Peer:
         async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
-            mine = hello_bytes(new_hello(self._me))
-            await socket.send(mine)
-            theirs = await _bytes_from(socket)
-            hello = read_hello(theirs)
+            own_hello = encode_hello(new_hello(self._me))
+            await socket.send(own_hello)
+            remote_hello = await _receive_bytes(socket)
+            hello = decode_hello(remote_hello)
             key = self._settings.key
-            await socket.send(proof(key, mine, theirs))
-            check_proof(key, theirs, mine, await _bytes_from(socket))
+            await socket.send(compute_proof(key, own_hello, remote_hello))
+            verify_proof(key, remote_hello, own_hello, await _receive_bytes(socket))
             return hello.peer
 
-    async def _run(self, socket: Connection, peer: Peer) -> None:
-        _give_up_when_unanswered(socket)
+    async def _run_link(self, socket: Connection, peer: Peer) -> None:
+        _set_ack_timeout(socket)
         link = Link(socket, peer, self._version, self._settings.tick_s)
         self._links[peer.node] = link
-        for message in self._dialling.pop(peer.node, ()):
+        for message in self._queued_while_dialling.pop(peer.node, ()):
             link.send(message)
-        if self._up is not None:
-            self._up(peer)
-        writer = asyncio.create_task(link.write())
+        if self._on_up is not None:
+            self._on_up(peer)
+        writer = asyncio.create_task(link.run_writer())
         try:
-            await link.read(self._received)
+            await link.run_reader(self._on_batch)
         finally:
             writer.cancel()
             if self._links.get(peer.node) is link:
                 del self._links[peer.node]
-                self._down(peer.node)
+                self._on_down(peer.node)
 
     async def close(self) -> None:
         """Close every link and accept no more."""
@@ -207,13 +213,13 @@
             task.cancel()
 
 
-def _give_up_when_unanswered(socket: Connection) -> None:
-    plain: socketlib.socket = socket.transport.get_extra_info("socket")
+def _set_ack_timeout(socket: Connection) -> None:
+    raw_socket: socketlib.socket = socket.transport.get_extra_info("socket")
     with contextlib.suppress(OSError):
-        plain.setsockopt(socketlib.IPPROTO_TCP, socketlib.TCP_USER_TIMEOUT, UNANSWERED_MS)
+        raw_socket.setsockopt(socketlib.IPPROTO_TCP, socketlib.TCP_USER_TIMEOUT, ACK_TIMEOUT_MS)
 
 
-async def _bytes_from(socket: Connection) -> bytes:
+async def _receive_bytes(socket: Connection) -> bytes:
     content = await socket.recv()
     if not isinstance(content, bytes):
         raise HandshakeRefused("text where bytes are due")
--- a/tests/wire/test_links.py
+++ b/tests/wire/test_links.py
@@ -12,7 +12,7 @@
 from ochreway_standins.site import free_port
 from ochreway_wire.batch import Batch, decode_batch, encode_batch
 from ochreway_wire.errors import BatchInvalid, HandshakeRefused
-from ochreway_wire.handshake import check_proof, proof, read_hello
+from ochreway_wire.handshake import compute_proof, decode_hello, verify_proof
 from ochreway_wire.links import Links, LinkSettings
 
 KEY = b"k" * 32
@@ -27,29 +27,29 @@
             self.peer,
             LinkSettings(key, compressed=compressed),
             lambda: Version(7),
-            self._take,
+            self._record_batch,
             self.down.append,
         )
 
-    def _take(self, sender: Peer, batch: Batch) -> None:
+    def _record_batch(self, sender: Peer, batch: Batch) -> None:
         self.received += [(sender.node, batch.version, each) for each in batch.messages]
 
     async def listen(self) -> None:
         await self.links.listen("127.0.0.1", int(self.peer.address.rpartition(":")[2]))
 
 
-async def until(check: Callable[[], bool]) -> None:
+async def wait_until(check: Callable[[], bool]) -> None:
     async with asyncio.timeout(10.0):
         while not check():
             await asyncio.sleep(0.01)
 
 
-def run(
+def run_with_two_ends(
     work: Callable[[End, End], Awaitable[None]],
     key: bytes = KEY,
     compressed: tuple[bool, bool] = (False, False),
 ) -> None:
-    async def both() -> None:
+    async def main() -> None:
         one = End("one", compressed=compressed[0])
         other = End("other", key, compressed[1])
         await one.listen()
@@ -60,7 +60,7 @@
             await one.links.close()
             await other.links.close()
 
-    asyncio.run(both())
+    asyncio.run(main())
 
 
 class LinksTests(testtools.TestCase):
@@ -68,23 +68,23 @@
         async def work(one: End, other: End) -> None:
             for number in range(100):
                 one.links.send(other.peer, Follow(GroupId(str(number))))
-            await until(lambda: len(other.received) == 100)
+            await wait_until(lambda: len(other.received) == 100)
             self.assertEqual(("one", 7, Follow(GroupId("0"))), other.received[0])
             other.links.send(one.peer, Follow(GroupId("back")))
-            await until(lambda: bool(one.received))
+            await wait_until(lambda: bool(one.received))
             self.assertEqual((1, 1), (len(one.links), len(other.links)))
 
-        run(work)
+        run_with_two_ends(work)
 
     def test_links_are_compressed_only_where_both_ends_want_it(self) -> None:
         async def work(one: End, other: End) -> None:
             for number in range(100):
                 one.links.send(other.peer, Follow(GroupId(str(number))))
-            await until(lambda: len(other.received) == 100)
+            await wait_until(lambda: len(other.received) == 100)
             self.assertEqual(("one", 7, Follow(GroupId("99"))), other.received[99])
 
         for compressed in ((True, True), (True, False), (False, True)):
-            run(work, compressed=compressed)
+            run_with_two_ends(work, compressed=compressed)
 
     def test_order_is_kept(self) -> None:
         async def work(one: End, other: End) -> None:
@@ -92,67 +92,67 @@
                 one.links.send(other.peer, Follow(GroupId(str(number))))
                 if number % 500 == 0:
                     await asyncio.sleep(0.002)
-            await until(lambda: len(other.received) >= 1024)
+            await wait_until(lambda: len(other.received) >= 1024)
             await asyncio.sleep(0.3)
             numbers = [int(message.group) for _, _, message in other.received]  # type: ignore[attr-defined]
             self.assertEqual(sorted(numbers), numbers)
 
-        run(work)
+        run_with_two_ends(work)
 
     def test_another_key_is_refused(self) -> None:
         async def work(one: End, other: End) -> None:
             one.links.send(other.peer, Follow(GroupId("x")))
-            await until(lambda: one.down == ["other"])
+            await wait_until(lambda: one.down == ["other"])
             self.assertEqual([], other.received)
 
-        run(work, key=b"z" * 32)
+        run_with_two_ends(work, key=b"z" * 32)
 
-    def test_nobody_there(self) -> None:
+    def test_a_failed_dial_is_reported_as_link_down(self) -> None:
         async def work(one: End, other: End) -> None:
             one.links.send(Peer(NodeId("ghost"), "127.0.0.1:1"), Follow(GroupId("x")))
-            await until(lambda: one.down == ["ghost"])
+            await wait_until(lambda: one.down == ["ghost"])
 
-        run(work)
+        run_with_two_ends(work)
 
-    def test_end_of_the_other_is_told(self) -> None:
+    def test_a_link_closed_by_the_peer_is_reported_as_link_down(self) -> None:
         async def work(one: End, other: End) -> None:
             one.links.send(other.peer, Follow(GroupId("x")))
-            await until(lambda: bool(other.received))
+            await wait_until(lambda: bool(other.received))
             await other.links.close()
-            await until(lambda: one.down == ["other"])
+            await wait_until(lambda: one.down == ["other"])
 
-        run(work)
+        run_with_two_ends(work)
 
-    def test_closing_does_not_wait_for_an_end_that_says_nothing(self) -> None:
+    def test_close_does_not_wait_for_an_unresponsive_peer(self) -> None:
         async def work(one: End, other: End) -> None:
             one.links.send(other.peer, Follow(GroupId("x")))
-            await until(lambda: bool(other.received))
+            await wait_until(lambda: bool(other.received))
             link = other.links._links[one.peer.node]
             link._socket.transport.pause_reading()  # As a process that is stopped.
             async with asyncio.timeout(8.0):
                 await one.links.close()
             link._socket.transport.abort()
 
-        run(work)
+        run_with_two_ends(work)
 
     def test_a_dropped_link_is_dialled_anew(self) -> None:
         async def work(one: End, other: End) -> None:
             one.links.send(other.peer, Follow(GroupId("x")))
-            await until(lambda: bool(other.received))
+            await wait_until(lambda: bool(other.received))
             one.links.drop(other.peer.node)
-            await until(lambda: one.down == ["other"] and other.down == ["one"])
+            await wait_until(lambda: one.down == ["other"] and other.down == ["one"])
             one.links.send(other.peer, Follow(GroupId("y")))
-            await until(lambda: len(other.received) == 2)
+            await wait_until(lambda: len(other.received) == 2)
 
-        run(work)
+        run_with_two_ends(work)
 
-    def test_a_message_to_several_is_taken_apart_once(self) -> None:
+    def test_send_all_sends_the_message_to_each_peer(self) -> None:
         async def work(one: End, other: End) -> None:
             one.links.send_all([other.peer, other.peer], Follow(GroupId("x")))
-            await until(lambda: len(other.received) == 2)
+            await wait_until(lambda: len(other.received) == 2)
             self.assertEqual(("one", 7, Follow(GroupId("x"))), other.received[1])
 
-        run(work)
+        run_with_two_ends(work)
 
 
 class BatchTests(testtools.TestCase):
@@ -172,12 +172,12 @@
 
 class HandshakeTests(testtools.TestCase):
     def test_own_proof_fed_back_is_refused(self) -> None:
-        mine = proof(KEY, b"mine", b"theirs")
-        self.assertRaises(HandshakeRefused, check_proof, KEY, b"theirs", b"mine", mine)
+        mine = compute_proof(KEY, b"mine", b"theirs")
+        self.assertRaises(HandshakeRefused, verify_proof, KEY, b"theirs", b"mine", mine)
 
     @given(st.binary(max_size=60))
     def test_any_hello_is_read_or_refused(self, content: bytes) -> None:
         try:
-            read_hello(content)
+            decode_hello(content)
         except HandshakeRefused:
             return
