--- a/packages/ochreway-wire/src/ochreway_wire/__init__.py
+++ b/packages/ochreway-wire/src/ochreway_wire/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Links between the processes of ochreway."""
+"""Authenticated websocket links between the processes of ochreway."""
--- a/packages/ochreway-wire/src/ochreway_wire/batch.py
+++ b/packages/ochreway-wire/src/ochreway_wire/batch.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A batch: the messages of one tick, behind their sender's configuration version."""
+"""Batches: the messages of one tick, preceded by the sender's configuration version."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Hold what one websocket message carries."""
+    """Content of one websocket message."""
 
     version: Version
     messages: tuple[object, ...]
 
 
 class PreparedMessage:
-    """Hold a message that goes to several processes, whose fields are taken apart only once."""
+    """Message for several processes, whose fields are encoded only once."""
 
     __slots__ = ("_fields", "_message")
 
@@ -41,7 +41,7 @@
 
 
 def encode_batch(version: Version, messages: list[object]) -> bytes:
-    """Return a batch as CBOR; messages may be ``PreparedMessage``."""
+    """Encode a batch as CBOR; messages may be instances of ``PreparedMessage``."""
     return cbor2.dumps([version, [_encode_item(each) for each in messages]])
 
 
@@ -54,10 +54,10 @@
 
 
 def decode_batch(content: bytes) -> Batch:
-    """Read a batch.
+    """Decode a batch.
 
     Raises:
-        BatchInvalid: when it is not CBOR, or a message is unknown or of the wrong shape.
+        BatchInvalid: if it is not CBOR, or a message has an unknown tag or invalid fields.
     """
     try:
         version, items = cbor2.loads(content)
@@ -69,7 +69,7 @@
 def _decode_message(item: list[Any]) -> object:
     message_type = MESSAGES.get(item[0])
     if message_type is None:
-        raise BatchInvalid(f"unknown message {item[0]}")
+        raise BatchInvalid(f"unknown message tag {item[0]}")
     return from_fields(message_type, item[1:])
 
 
--- a/packages/ochreway-wire/src/ochreway_wire/errors.py
+++ b/packages/ochreway-wire/src/ochreway_wire/errors.py
@@ -5,15 +5,15 @@
 
 
 class LinkError(OchrewayError):
-    """A link could not be made or used."""
+    """A link could not be established or used."""
 
 
 class HandshakeRefused(LinkError):
-    """The other end did not prove that it holds the key, or speaks no common version."""
+    """The peer did not prove that it holds the key, or shares no protocol version."""
 
 
 class BatchInvalid(LinkError):
-    """A batch is not what the protocol allows."""
+    """A batch violates the protocol."""
 
 
 __all__ = ["BatchInvalid", "HandshakeRefused", "LinkError"]
--- a/packages/ochreway-wire/src/ochreway_wire/handshake.py
+++ b/packages/ochreway-wire/src/ochreway_wire/handshake.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The first messages on a link: who each end is, and proof that it holds the key.
+"""Handshake of a link: each end identifies itself and proves that it holds the key.
 
-Each end sends a nonce; each answers the other's with an HMAC over both hellos, so a recorded
-proof is of no use on another link, and an end cannot be fed its own proof.
+Each end sends a hello with a nonce and answers the peer's hello with an HMAC over both hellos, the
+prover's first. A recorded proof is therefore invalid on another link, and an end's own proof cannot
+be replayed to it.
 """
 
 import hashlib
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Present one end of a link."""
+    """Identity, protocol versions and nonce of one end of a link."""
 
     protocols: tuple[int, ...]
     node: NodeId
@@ -31,7 +32,7 @@
 
     @property
     def peer(self) -> Peer:
-        """Return the process that the hello presents."""
+        """Return the process that sent the hello, as a peer."""
         return Peer(self.node, self.address)
 
 
@@ -41,37 +42,43 @@
 
 
 def compute_proof(key: bytes, prover: bytes, verifier: bytes) -> bytes:
-    """Return the proof that the prover's hello was sent by a holder of the key."""
+    """Compute the HMAC that proves that the prover holds the key.
+
+    Args:
+        key: The link key.
+        prover: The encoded hello of the end that proves itself.
+        verifier: The encoded hello of the end that checks the proof.
+    """
     return hmac.digest(key, b"ochreway link\0" + prover + verifier, hashlib.sha256)
 
 
 def verify_proof(key: bytes, prover: bytes, verifier: bytes, received_proof: bytes) -> None:
-    """Check a proof.
+    """Check the proof received from the prover.
 
     Raises:
-        HandshakeRefused: when it does not match.
+        HandshakeRefused: if it does not match.
     """
     if not hmac.compare_digest(compute_proof(key, prover, verifier), received_proof):
-        raise HandshakeRefused("the other end does not hold the link key")
+        raise HandshakeRefused("the peer does not hold the link key")
 
 
 def decode_hello(content: bytes) -> Hello:
-    """Read the other end's hello.
+    """Decode the peer's hello and check that it shares a protocol version.
 
     Raises:
-        HandshakeRefused: when it is no hello, or no protocol is common.
+        HandshakeRefused: if it is not a hello, or no protocol version is shared.
     """
     try:
         hello = decode(Hello, content)
     except CodecError as error:
         raise HandshakeRefused(str(error)) from error
     if not set(hello.protocols) & set(PROTOCOLS):
-        raise HandshakeRefused(f"no common protocol: {hello.protocols} and {PROTOCOLS}")
+        raise HandshakeRefused(f"no common protocol version: {hello.protocols} and {PROTOCOLS}")
     return hello
 
 
 def encode_hello(hello: Hello) -> bytes:
-    """Return a hello as bytes."""
+    """Encode a hello."""
     return encode(hello)
 
 
--- a/packages/ochreway-wire/src/ochreway_wire/link.py
+++ b/packages/ochreway-wire/src/ochreway_wire/link.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One link: a websocket that carries batches both ways."""
+"""One link: a websocket that carries batches in both directions."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,16 +13,17 @@
 from ochreway_wire.errors import BatchInvalid
 
 MAX_QUEUED_MESSAGES = 100_000
+"""Bounds the messages that wait to be sent; a link that exceeds it is aborted."""
 MESSAGES_PER_BATCH = 4096
 CLOSE_TIMEOUT_S = 0.3
-"""How long the other end has to take what is queued and to agree to close: a few round trips.
+"""Bounds how long the peer may take to receive queued messages and close: a few round trips.
 
-One that is stopped or cut off does neither, and would hold up a process that has to end.
+A peer that is stopped or unreachable does neither and would delay the exit of this process.
 """
 
 
 class Link:
-    """Own a websocket; flush at once when idle, else once a tick."""
+    """Own a websocket; flush immediately when idle, otherwise once per tick."""
 
     def __init__(
         self, socket: Connection, peer: Peer, version: Callable[[], Version], tick_s: float
@@ -37,7 +38,7 @@
         self.received_bytes = 0
 
     def send(self, message: object) -> bool:
-        """Queue a message; False when too many wait and the link is given up."""
+        """Queue a message; return False if the queue is full and the link was aborted."""
         if len(self._queue) >= MAX_QUEUED_MESSAGES:
             self.abort()
             return False
@@ -46,7 +47,7 @@
         return True
 
     async def run_writer(self) -> None:
-        """Send what is queued until the link ends."""
+        """Send queued messages until the link closes."""
         loop = asyncio.get_running_loop()
         last_flush_s = 0.0
         try:
@@ -70,22 +71,22 @@
             await self._socket.send(content)
 
     async def run_reader(self, on_batch: Callable[[Peer, Batch], None]) -> None:
-        """Pass on what comes until the link ends or breaks the protocol."""
+        """Pass received batches to ``on_batch`` until the link closes or violates the protocol."""
         try:
             async for content in self._socket:
                 if not isinstance(content, bytes):
-                    raise BatchInvalid("text")
+                    raise BatchInvalid("received a text message instead of a binary one")
                 self.received_bytes += len(content)
                 on_batch(self.peer, decode_batch(content))
         except (ConnectionClosed, BatchInvalid):
             return
 
     def abort(self) -> None:
-        """Break off without a word, as the other end may not be there."""
+        """Drop the connection without a closing handshake, as the peer may be unreachable."""
         self._socket.transport.abort()
 
     async def close(self) -> None:
-        """Send what is queued and close; break off when the other end does not follow in time."""
+        """Send queued messages and close; abort if the peer does not close in time."""
         try:
             async with asyncio.timeout(CLOSE_TIMEOUT_S):
                 await self._flush()
--- a/packages/ochreway-wire/src/ochreway_wire/links.py
+++ b/packages/ochreway-wire/src/ochreway_wire/links.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""All links of one process: accepted and dialled, one for each other process."""
+"""All links of one process, accepted and dialled: one per peer."""
 
 import asyncio
 import contextlib
@@ -28,14 +28,15 @@
 
 HANDSHAKE_TIMEOUT_S = 2.0
 ACK_TIMEOUT_MS = 4000
-"""After how long without an acknowledgement the kernel gives a connection up.
+"""Bounds how long sent data may stay unacknowledged before the kernel closes the connection.
 
-It costs nothing while a link is idle, which pings would; that a process is stopped though
-its kernel answers is noticed by the heartbeats and reports above.
+Unlike pings, it costs nothing while a link is idle. It does not detect a stopped process whose
+kernel still acknowledges data; the heartbeats and reports of the layers above do.
 """
 MAX_QUEUED_WHILE_DIALLING = 1024
+"""Bounds the messages queued for one peer while it is dialled; further ones are dropped."""
 UNKNOWN_NODE = NodeId("")
-"""Stands for a process whose name is learned from its hello."""
+"""Placeholder for a peer whose name is not known until its hello is received."""
 
 BatchHandler = Callable[[Peer, Batch], None]
 LinkDownHandler = Callable[[NodeId], None]
@@ -44,10 +45,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkSettings:
-    """Hold what every link of a process needs.
+    """Settings shared by all links of a process.
 
-    Compressing pays where messages repeat each other and bytes between halls are dear; it takes
-    some 64 KB a link, so processes with many links leave it off. Both ends have to want it.
+    Compression is worthwhile where messages are repetitive and traffic between halls is expensive.
+    It needs about 64 KB of memory per link, so processes with many links leave it off. It is used
+    only if both ends enable it.
     """
 
     key: bytes
@@ -58,12 +60,12 @@
 
     @property
     def compression(self) -> str | None:
-        """Return the name of the compression that is offered and accepted."""
+        """Return the name of the compression to offer and accept, if any."""
         return "deflate" if self.compressed else None
 
 
 class Links:
-    """Own every link; messages to a process without one are queued while it is dialled."""
+    """Own all links; queue messages for a peer without a link while it is dialled."""
 
     def __init__(
         self,
@@ -90,7 +92,7 @@
         return len(self._links)
 
     async def listen(self, host: str, port: int) -> int:
-        """Accept links; return the port, which is a free one when 0 is asked for."""
+        """Accept links; return the port, which is a free one if ``port`` is 0."""
         self._server = await serve(
             self._accept,
             host,
@@ -104,7 +106,7 @@
         return bound_port
 
     def send(self, peer: Peer, message: object) -> None:
-        """Send a message, dialling when there is no link."""
+        """Send a message; dial the peer if there is no link."""
         link = self._links.get(peer.node)
         if link is not None:
             link.send(message)
@@ -117,19 +119,19 @@
             queued.append(message)
 
     def send_all(self, peers: Iterable[Peer], message: object) -> None:
-        """Send the same message to several processes, encoded once."""
+        """Send the same message to several peers; encode its fields once."""
         prepared = PreparedMessage(message)
         for peer in peers:
             self.send(peer, prepared)
 
     def drop(self, node: NodeId) -> None:
-        """Break a link off at once; the next message dials anew."""
+        """Abort the link to a node; the next message dials it again."""
         link = self._links.get(node)
         if link is not None:
             link.abort()
 
     def dial_address(self, address: str) -> None:
-        """Dial a process whose name is not known, unless that is under way already."""
+        """Dial a process whose name is not known, unless its address is being dialled already."""
         if address not in self._addresses_dialling:
             self._addresses_dialling.add(address)
             self._spawn(self._dial_address(address))
@@ -204,7 +206,7 @@
                 self._on_down(peer.node)
 
     async def close(self) -> None:
-        """Close every link and accept no more."""
+        """Close all links and stop accepting new ones."""
         await asyncio.gather(*(link.close() for link in list(self._links.values())))
         if self._server is not None:
             self._server.close()
@@ -222,7 +224,7 @@
 async def _receive_bytes(socket: Connection) -> bytes:
     content = await socket.recv()
     if not isinstance(content, bytes):
-        raise HandshakeRefused("text where bytes are due")
+        raise HandshakeRefused("received a text message instead of a binary one")
     return content
 
 
--- a/tests/wire/test_links.py
+++ b/tests/wire/test_links.py
@@ -128,7 +128,7 @@
             one.links.send(other.peer, Follow(GroupId("x")))
             await wait_until(lambda: bool(other.received))
             link = other.links._links[one.peer.node]
-            link._socket.transport.pause_reading()  # As a process that is stopped.
+            link._socket.transport.pause_reading()  # Acts like a stopped process.
             async with asyncio.timeout(8.0):
                 await one.links.close()
             link._socket.transport.abort()
