--- a/packages/ochreway-direct/src/ochreway_direct/crashes/crashkeeper.py
+++ b/packages/ochreway-direct/src/ochreway_direct/crashes/crashkeeper.py
@@ -9,7 +9,7 @@
 from ochreway_core.ids import ChangeId, Fingerprint, InstanceId, NodeId
 from ochreway_core.table import CommitStatus, Row, Transaction
 from ochreway_direct.crashes.crashwatch import CrashWatch
-from ochreway_direct.crashes.fatalrow import PREFIX, FatalRow, key_of, read_row
+from ochreway_direct.crashes.fatalrow import KEY_PREFIX, FatalRow, decode_row, row_key
 from ochreway_platform.errors import TableUnavailable
 from ochreway_platform.table import Table
 from ochreway_routing.crashbook import QUARANTINE_S, CrashBook
@@ -17,15 +17,15 @@
 from ochreway_runtime.logs import EventLog
 from ochreway_runtime.metrics import Metrics
 
-LOOK_S = 1.0
+SCAN_INTERVAL_S = 1.0
 """How often the holder of the lease looks for fatal requests without a row.
 
 Whoever saw the third crash writes at once; where two entries saw one each at the same moment,
 neither did.
 """
-TIDY_S = QUARANTINE_S / 2
+REFRESH_INTERVAL_S = QUARANTINE_S / 2
 """How often the holder of the lease writes rows anew that still count, and drops the others."""
-WRITTEN_AT_ONCE = 50
+MAX_ROWS_PER_WRITE = 50
 """How many rows one transaction has; the platform takes 100."""
 
 
@@ -42,7 +42,7 @@
         book: CrashBook,
         watch: CrashWatch,
         table: Table,
-        holds: Callable[[], bool],
+        holds_lease: Callable[[], bool],
         backoff: Backoff,
         log: EventLog,
         metrics: Metrics,
@@ -53,27 +53,27 @@
         self._book = book
         self._watch = watch
         self._table = table
-        self._holds = holds
+        self._holds_lease = holds_lease
         self._backoff = backoff
         self._log = log
         self._metrics = metrics
         self._wall = wall
         self._loop = asyncio.get_running_loop()
-        self._kept: set[Fingerprint] = set()
-        self._due: dict[Fingerprint, None] = {}
+        self._stored: set[Fingerprint] = set()
+        self._pending: dict[Fingerprint, None] = {}
         self._wake = asyncio.Event()
-        self._changes = 0
-        self._tidied_s = self._loop.time()
-        watch.listen(self._changed)
+        self._change_count = 0
+        self._refreshed_s = self._loop.time()
+        watch.add_listener(self._on_changed)
 
-    def _changed(self, fingerprints: list[Fingerprint]) -> None:
+    def _on_changed(self, fingerprints: list[Fingerprint]) -> None:
         """Have those written that have become fatal here, or are so no more."""
         for fingerprint in fingerprints:
-            if self._fatal(fingerprint) != (fingerprint in self._kept):
-                self._due[fingerprint] = None
+            if self._is_fatal(fingerprint) != (fingerprint in self._stored):
+                self._pending[fingerprint] = None
                 self._wake.set()
 
-    def _fatal(self, fingerprint: Fingerprint) -> bool:
+    def _is_fatal(self, fingerprint: Fingerprint) -> bool:
         return self._book.crash_count(fingerprint) >= FATAL_CRASHES
 
     async def run(self) -> None:
@@ -82,16 +82,16 @@
             await asyncio.sleep(self._backoff.failed())
         while True:
             await self._wait()
-            if self._holds():
-                self._due.update(dict.fromkeys(set(self._book.fatal()) - self._kept))
-            if self._due and not await self._write(list(self._due)[:WRITTEN_AT_ONCE]):
+            if self._holds_lease():
+                self._pending.update(dict.fromkeys(set(self._book.fatal()) - self._stored))
+            if self._pending and not await self._write(list(self._pending)[:MAX_ROWS_PER_WRITE]):
                 await asyncio.sleep(self._backoff.failed())
-            if self._holds() and self._loop.time() - self._tidied_s >= TIDY_S:
-                await self._tidy()
+            if self._holds_lease() and self._loop.time() - self._refreshed_s >= REFRESH_INTERVAL_S:
+                await self._refresh_rows()
 
     async def _wait(self) -> None:
         try:
-            async with asyncio.timeout(0.0 if self._due else LOOK_S):
+            async with asyncio.timeout(0.0 if self._pending else SCAN_INTERVAL_S):
                 await self._wake.wait()
         except TimeoutError:
             return
@@ -104,80 +104,84 @@
         if rows is None:
             return False
         now_s, wall_s = self._loop.time(), self._wall()
-        found = [row for row in rows.values() if row.age_s(wall_s) < 2 * QUARANTINE_S]
-        self._kept.update(row.fingerprint for row in found)
-        self._watch.hear(tuple(row.sighting(wall_s) for row in found), now_s)
+        recent_rows = [row for row in rows.values() if row.age_s(wall_s) < 2 * QUARANTINE_S]
+        self._stored.update(row.fingerprint for row in recent_rows)
+        self._watch.on_sightings(tuple(row.to_sighting(wall_s) for row in recent_rows), now_s)
         return True
 
     async def _read(self) -> dict[str, FatalRow] | None:
         try:
-            rows = await self._table.read((PREFIX,))
-        except TableUnavailable as fault:
+            rows = await self._table.read((KEY_PREFIX,))
+        except TableUnavailable as error:
             self._metrics.count("crash.rows_unavailable")
-            self._log.detail("fatal_rows_unavailable", cause=fault)
+            self._log.detail("fatal_rows_unavailable", cause=error)
             return None
         self._backoff.succeeded()
-        return {key: found for key, row in rows.items() if (found := self._decoded(key, row))}
+        return {
+            key: decoded_row for key, row in rows.items() if (decoded_row := self._decode(key, row))
+        }
 
-    def _decoded(self, key: str, row: Row) -> FatalRow | None:
-        found = read_row(row.content)
-        if found is None:
+    def _decode(self, key: str, row: Row) -> FatalRow | None:
+        fatal_row = decode_row(row.content)
+        if fatal_row is None:
             self._metrics.count("crash.row_unreadable")
             self._log.fault("fatal_row_unreadable", key=key)
-        return found
+        return fatal_row
 
     async def _write(self, fingerprints: list[Fingerprint]) -> bool:
         """Write or drop the rows of some requests; return whether that was done."""
-        writes = {key_of(each): self._content(each) for each in fingerprints}
+        writes = {row_key(each): self._row_content(each) for each in fingerprints}
         if not await self._commit(writes):
             return False
         for fingerprint in fingerprints:
-            del self._due[fingerprint]
-            (self._kept.add if writes[key_of(fingerprint)] else self._kept.discard)(fingerprint)
+            del self._pending[fingerprint]
+            (self._stored.add if writes[row_key(fingerprint)] else self._stored.discard)(
+                fingerprint
+            )
         return True
 
-    def _content(self, fingerprint: Fingerprint) -> bytes | None:
-        if not self._fatal(fingerprint):
+    def _row_content(self, fingerprint: Fingerprint) -> bytes | None:
+        if not self._is_fatal(fingerprint):
             return None
         targets = tuple(dict.fromkeys(self._book.targets(fingerprint)))
-        return FatalRow(fingerprint, _told_apart(targets), self._wall()).content()
+        return FatalRow(fingerprint, _distinct_names(targets), self._wall()).to_bytes()
 
     async def _commit(self, writes: dict[str, bytes | None]) -> bool:
-        self._changes += 1
-        change = ChangeId(f"{self._me}/fatal/{self._changes}")
+        self._change_count += 1
+        change = ChangeId(f"{self._me}/fatal/{self._change_count}")
         reply = await self._table.commit(Transaction(change, (), writes))
-        done = reply.status is CommitStatus.COMMITTED
-        self._metrics.count("crash.rows_written" if done else "crash.rows_unavailable")
-        if done:
+        committed = reply.status is CommitStatus.COMMITTED
+        self._metrics.count("crash.rows_written" if committed else "crash.rows_unavailable")
+        if committed:
             self._backoff.succeeded()
-        return done
+        return committed
 
-    async def _tidy(self) -> None:
+    async def _refresh_rows(self) -> None:
         """Write rows of requests that are still fatal anew, and drop those that count no more."""
-        self._tidied_s = self._loop.time()
+        self._refreshed_s = self._loop.time()
         rows = await self._read()
         if rows is None:
             return
         wall_s = self._wall()
-        old = [row for row in rows.values() if row.age_s(wall_s) >= TIDY_S]
-        over = [row for row in old if row.age_s(wall_s) >= 2 * QUARANTINE_S]
-        due = {row.fingerprint for row in over}
-        due |= {row.fingerprint for row in old if self._asked_lately(row, wall_s)}
-        self._due.update(dict.fromkeys(due))
+        aged = [row for row in rows.values() if row.age_s(wall_s) >= REFRESH_INTERVAL_S]
+        expired = [row for row in aged if row.age_s(wall_s) >= 2 * QUARANTINE_S]
+        to_write = {row.fingerprint for row in expired}
+        to_write |= {row.fingerprint for row in aged if self._requested_since_write(row, wall_s)}
+        self._pending.update(dict.fromkeys(to_write))
 
-    def _asked_lately(self, row: FatalRow, wall_s: float) -> bool:
+    def _requested_since_write(self, row: FatalRow, wall_s: float) -> bool:
         """Tell whether a request was asked for since its row was written."""
-        asked_s = self._book.asked_age_s(row.fingerprint, self._loop.time())
-        return asked_s is not None and asked_s < row.age_s(wall_s)
+        request_age_s = self._book.asked_age_s(row.fingerprint, self._loop.time())
+        return request_age_s is not None and request_age_s < row.age_s(wall_s)
 
 
-def _told_apart(targets: tuple[InstanceId, ...]) -> tuple[InstanceId, ...]:
+def _distinct_names(targets: tuple[InstanceId, ...]) -> tuple[InstanceId, ...]:
     """Return as many names as crashes make a request fatal, each its own.
 
     The same target may have ended more than once; a row has no times to tell that by.
     """
-    more = (InstanceId(f"{targets[0]}#{n}") for n in range(FATAL_CRASHES - len(targets)))
-    return (*targets, *more)
+    aliases = (InstanceId(f"{targets[0]}#{n}") for n in range(FATAL_CRASHES - len(targets)))
+    return (*targets, *aliases)
 
 
-__all__ = ["LOOK_S", "TIDY_S", "CrashKeeper"]
+__all__ = ["SCAN_INTERVAL_S", "REFRESH_INTERVAL_S", "CrashKeeper"]
--- a/packages/ochreway-direct/src/ochreway_direct/crashes/crashspread.py
+++ b/packages/ochreway-direct/src/ochreway_direct/crashes/crashspread.py
@@ -11,15 +11,15 @@
 from ochreway_routing.crashbook import CrashBook
 from ochreway_wire.links import Links
 
-MET_SUSPECTS_S = 30.0
+SUSPECT_MAX_AGE_S = 30.0
 """How old the suspects are at most that an entry is told of when a link to it begins.
 
 Callers who were under way at a crash have come back or given up by then; fatal requests are told
 whatever their age.
 """
-TOLD_AT_ONCE = 500
+MAX_SIGHTINGS_PER_MESSAGE = 500
 """How many requests one message tells of: some 60 KB."""
-REPEATED = 4
+REPEATED_PER_HEARTBEAT = 4
 """How many fatal requests are told again with each heartbeat, in turn.
 
 So an entry that missed a word for any reason learns of a fatal request within seconds, and of when
@@ -42,44 +42,44 @@
         self._heartbeats = heartbeats
         self._links = links
         self._loop = asyncio.get_running_loop()
-        self._waiting: dict[Fingerprint, None] = {}
-        watch.listen(self.tell)
+        self._pending: dict[Fingerprint, None] = {}
+        watch.add_listener(self.announce)
 
-    def tell(self, fingerprints: list[Fingerprint]) -> None:
+    def announce(self, fingerprints: list[Fingerprint]) -> None:
         """Tell of some requests soon: all callers of a lost target break off in one moment."""
-        if not self._waiting:
+        if not self._pending:
             self._loop.call_soon(self._flush)
-        self._waiting.update(dict.fromkeys(fingerprints))
+        self._pending.update(dict.fromkeys(fingerprints))
 
     def _flush(self) -> None:
-        waiting, self._waiting = list(self._waiting), {}
-        self._send(waiting, self._heartbeats.contacts())
+        pending, self._pending = list(self._pending), {}
+        self._send(pending, self._heartbeats.contacts())
 
-    def met(self, peer: Peer) -> None:
+    def on_linked(self, peer: Peer) -> None:
         """Tell an entry with which a link has just begun what counts."""
         now_s = self._loop.time()
-        counting = [*self._book.suspects(now_s - MET_SUSPECTS_S), *self._book.fatal()]
-        self._send(counting, [peer])
+        relevant = [*self._book.suspects(now_s - SUSPECT_MAX_AGE_S), *self._book.fatal()]
+        self._send(relevant, [peer])
 
-    def repeat(self, now_s: float) -> None:
+    def announce_again(self, now_s: float) -> None:
         """Tell of some fatal requests again, and forget what is too old."""
         self._book.expire(now_s)
         fatal = self._book.fatal()
-        begin = int(now_s * 1000) % len(fatal) if len(fatal) > REPEATED else 0
-        chosen = (fatal + fatal)[begin : begin + min(REPEATED, len(fatal))]
+        begin = int(now_s * 1000) % len(fatal) if len(fatal) > REPEATED_PER_HEARTBEAT else 0
+        chosen = (fatal + fatal)[begin : begin + min(REPEATED_PER_HEARTBEAT, len(fatal))]
         self._send(chosen, self._heartbeats.contacts())
 
     def on_news(self, sender: Peer, news: CrashNews) -> None:
         """Take what another entry tells, and pass on what is news."""
-        found = self._watch.hear(news.sightings, self._loop.time())
-        if found:
-            audience = self._heartbeats.forwarding_peers(sender.node)
-            self._send(found, [peer for peer in audience if peer.node != sender.node])
+        new_fingerprints = self._watch.on_sightings(news.sightings, self._loop.time())
+        if new_fingerprints:
+            receivers = self._heartbeats.forwarding_peers(sender.node)
+            self._send(new_fingerprints, [peer for peer in receivers if peer.node != sender.node])
 
     def _send(self, fingerprints: list[Fingerprint], peers: list[Peer]) -> None:
-        for begin in range(0, len(fingerprints), TOLD_AT_ONCE):
-            some = fingerprints[begin : begin + TOLD_AT_ONCE]
-            sightings = self._book.sightings(some, self._loop.time())
+        for begin in range(0, len(fingerprints), MAX_SIGHTINGS_PER_MESSAGE):
+            batch = fingerprints[begin : begin + MAX_SIGHTINGS_PER_MESSAGE]
+            sightings = self._book.sightings(batch, self._loop.time())
             self._links.send_all(peers, CrashNews(sightings))
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/crashes/crashwatch.py
+++ b/packages/ochreway-direct/src/ochreway_direct/crashes/crashwatch.py
@@ -14,16 +14,16 @@
 from ochreway_runtime.logs import EventLog
 from ochreway_runtime.metrics import Metrics
 
-TOLD_FROM = 2
+MIN_LOGGED_CRASHES = 2
 """From how many crashes on a line is written: after one all callers of a target are suspects."""
-AWAITED_S = 0.1
+MAX_CHECK_WAIT_S = 0.1
 """How long a call waits to learn whether its target ended, before it may be sent on.
 
 A refused connection takes a round trip, 3 ms between halls; a target that does not answer costs
 the call this much, and what is found later counts all the same.
 """
 
-Changed = Callable[[list[Fingerprint]], None]
+ChangeListener = Callable[[list[Fingerprint]], None]
 """Told of the requests of which something is known that other entries do not know."""
 
 
@@ -43,17 +43,17 @@
         self._check = TargetCheck()
         self._log = log
         self._metrics = metrics
-        self._examining: set[asyncio.Task[None]] = set()
+        self._running_checks: set[asyncio.Task[None]] = set()
         self._loop = asyncio.get_running_loop()
-        self._listeners: list[Changed] = []
+        self._listeners: list[ChangeListener] = []
 
-    def listen(self, changed: Changed) -> None:
+    def add_listener(self, listener: ChangeListener) -> None:
         """Have a part told of the requests that this entry learns something of by itself."""
-        self._listeners.append(changed)
+        self._listeners.append(listener)
 
-    def _changed(self, fingerprint: Fingerprint) -> None:
-        for changed in self._listeners:
-            changed([fingerprint])
+    def _notify(self, fingerprint: Fingerprint) -> None:
+        for listener in self._listeners:
+            listener([fingerprint])
 
     def fatal_for_s(self, call: Call) -> float:
         """Return for how long a call must not be sent; 0 when it may be."""
@@ -61,53 +61,59 @@
             return 0.0
         verdict = self._book.check_request(call.fingerprint, self._loop.time())
         if verdict.on_trial:
-            self._try_again(call)
+            self._start_trial(call)
         return verdict.fatal_for_s
 
-    def _try_again(self, call: Call) -> None:
+    def _start_trial(self, call: Call) -> None:
         """Let one call be sent once, after its like was long not asked for; others wait for it."""
         call.on_trial = True
         self._metrics.count("crash.on_trial")
         self._log.event("request_on_trial", fingerprint=call.fingerprint)
-        self._changed(call.fingerprint)
+        self._notify(call.fingerprint)
 
-    def finished(self, call: Call) -> None:
+    def on_completed(self, call: Call) -> None:
         """Note that a target ran a call to its end and goes on."""
         crashes = self._book.crash_count(call.fingerprint)
         if self._book.record_completion(call.fingerprint, self._loop.time()):
-            if crashes >= TOLD_FROM:
+            if crashes >= MIN_LOGGED_CRASHES:
                 self._log.event("request_cleared", fingerprint=call.fingerprint, crashes=crashes)
             self._metrics.count("crash.cleared")
-            self._changed(call.fingerprint)
+            self._notify(call.fingerprint)
 
-    async def broke_off(self, call: Call, attempt: Attempt) -> None:
+    async def on_disconnected(self, call: Call, attempt: Attempt) -> None:
         """Find out whether the target of an attempt that broke off has ended, and note it."""
-        task = asyncio.create_task(self._examine(call.fingerprint, attempt))
-        self._examining.add(task)
-        task.add_done_callback(self._examining.discard)
-        await asyncio.wait([task], timeout=AWAITED_S)
+        task = asyncio.create_task(self._check_target(call.fingerprint, attempt))
+        self._running_checks.add(task)
+        task.add_done_callback(self._running_checks.discard)
+        await asyncio.wait([task], timeout=MAX_CHECK_WAIT_S)
 
-    async def _examine(self, fingerprint: Fingerprint, attempt: Attempt) -> None:
-        broke_s = self._loop.time()
+    async def _check_target(self, fingerprint: Fingerprint, attempt: Attempt) -> None:
+        disconnected_s = self._loop.time()
         if not await self._check.ended(attempt.address):
             self._metrics.count("crash.target_stands")
             return
         self._metrics.count("crash.under_request")
-        if self._book.record_crash(fingerprint, attempt.instance, broke_s):
-            self._tell(fingerprint)
-            self._changed(fingerprint)
+        if self._book.record_crash(fingerprint, attempt.instance, disconnected_s):
+            self._log_crashes(fingerprint)
+            self._notify(fingerprint)
 
-    def hear(self, sightings: tuple[CrashSighting, ...], heard_s: float) -> list[Fingerprint]:
+    def on_sightings(
+        self, sightings: tuple[CrashSighting, ...], received_s: float
+    ) -> list[Fingerprint]:
         """Take what another entry tells; return the requests of which it was news."""
-        news = [each.fingerprint for each in sightings if self._book.merge_sighting(each, heard_s)]
-        for fingerprint in news:
-            self._tell(fingerprint)
-        return news
-
-    def _tell(self, fingerprint: Fingerprint) -> None:
+        new_fingerprints = [
+            sighting.fingerprint
+            for sighting in sightings
+            if self._book.merge_sighting(sighting, received_s)
+        ]
+        for fingerprint in new_fingerprints:
+            self._log_crashes(fingerprint)
+        return new_fingerprints
+
+    def _log_crashes(self, fingerprint: Fingerprint) -> None:
         """Write what is known of a request that several targets ended under."""
         crashes = self._book.crash_count(fingerprint)
-        if crashes < TOLD_FROM:
+        if crashes < MIN_LOGGED_CRASHES:
             return
         targets = ",".join(self._book.targets(fingerprint))
         if crashes < FATAL_CRASHES:
--- a/packages/ochreway-direct/src/ochreway_direct/crashes/fatalrow.py
+++ b/packages/ochreway-direct/src/ochreway_direct/crashes/fatalrow.py
@@ -8,7 +8,7 @@
 from ochreway_core.errors import CodecError
 from ochreway_core.ids import Fingerprint, InstanceId
 
-PREFIX = "fatal/"
+KEY_PREFIX = "fatal/"
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,23 +27,23 @@
         """Return how long ago the row was written, by the time of day."""
         return max(0.0, wall_s - self.written_wall_s)
 
-    def sighting(self, wall_s: float) -> CrashSighting:
+    def to_sighting(self, wall_s: float) -> CrashSighting:
         """Return what the row tells, as another entry would."""
         age_s = self.age_s(wall_s)
         crashes = tuple(SeenCrash(target, age_s) for target in self.targets)
         return CrashSighting(self.fingerprint, crashes, age_s)
 
-    def content(self) -> bytes:
+    def to_bytes(self) -> bytes:
         """Return the row as it is kept."""
         return encode(self)
 
 
-def key_of(fingerprint: Fingerprint) -> str:
+def row_key(fingerprint: Fingerprint) -> str:
     """Return the key of a request's row."""
-    return f"{PREFIX}{fingerprint}"
+    return f"{KEY_PREFIX}{fingerprint}"
 
 
-def read_row(content: bytes) -> FatalRow | None:
+def decode_row(content: bytes) -> FatalRow | None:
     """Return a row, or None when nobody can read it."""
     try:
         return decode(FatalRow, content)
@@ -51,4 +51,4 @@
         return None
 
 
-__all__ = ["PREFIX", "FatalRow", "key_of", "read_row"]
+__all__ = ["KEY_PREFIX", "FatalRow", "row_key", "decode_row"]
--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -299,7 +299,7 @@
         self.timer.every(timing.heartbeat_s, self._dependencies.check)
         self.timer.every(timing.heartbeat_s, self._home_check.check)
         self.timer.every(timing.heartbeat_s, lambda _: self._share_retries())
-        self.timer.every(timing.heartbeat_s, self._crash_spread.repeat)
+        self.timer.every(timing.heartbeat_s, self._crash_spread.announce_again)
         self.timer.every(CHECK_INTERVAL_S, self.resources.check)
         if self.settings.has(Mechanism.SILENCE_SUSPECTED):
             self.timer.every(SUSPECT_AGAIN_S, self._suspect_silent)
@@ -446,7 +446,7 @@
 
     def _on_link_up(self, peer: Peer) -> None:
         self.peers.add_linked(peer, self._loop.time())
-        self._crash_spread.met(peer)
+        self._crash_spread.on_linked(peer)
 
     def _on_link_down(self, node: NodeId) -> None:
         self.peers.on_link_lost(node, self._loop.time())
--- a/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
@@ -119,7 +119,7 @@
             begun_s = asyncio.get_running_loop().time()
             ending = await self._send(call, attempt)
             if ending.response is not None:
-                self._crashes.finished(call)
+                self._crashes.on_completed(call)
                 return ending.response
             self._call_log.attempt_failed(call, attempt, ending, begun_s)
             self._metrics.count(f"attempt.{ending.reason.value}")
@@ -129,7 +129,7 @@
                 self._suspect(attempt.group)
             call.tried.add(attempt.instance)
             if ending.disconnected:
-                await self._crashes.broke_off(call, attempt)
+                await self._crashes.on_disconnected(call, attempt)
             await self._check_retry(call, ending)
             self._metrics.count(f"retry.{ending.reason.value}")
 
--- a/packages/ochreway-standins/src/ochreway_standins/spreadworld.py
+++ b/packages/ochreway-standins/src/ochreway_standins/spreadworld.py
@@ -141,7 +141,7 @@
         now_s = asyncio.get_running_loop().time()
         for target in targets:
             self.crashes.record_crash(fingerprint, target, now_s)
-        self.crash_spread.repeat(now_s)
+        self.crash_spread.announce_again(now_s)
 
     def begin(self, place: str) -> None:
         """Begin a request at a place."""
@@ -223,7 +223,7 @@
         for number, entry in enumerate(list(self.entries.values())):
             if (self._steps + number) % every == 0:
                 entry.heartbeats.send(self.now_s)
-                entry.crash_spread.repeat(self.now_s)
+                entry.crash_spread.announce_again(self.now_s)
 
     def _deliver(self) -> None:
         mail, self._mail = self._mail, deque()
--- a/tests/direct/test_crashes.py
+++ b/tests/direct/test_crashes.py
@@ -19,15 +19,17 @@
 )
 
 Writer = asyncio.StreamWriter
-FATAL = "x"
-OTHER = "y"
+FATAL_PATH = "x"
+OTHER_PATH = "y"
 
 
-def fatal_to(running: Callable[[], RunningRelay], number: int) -> Callable[..., Awaitable[None]]:
+def crashing_script(
+    running: Callable[[], RunningRelay], number: int
+) -> Callable[..., Awaitable[None]]:
     """Return a script by which a target ends under requests for one path and answers others."""
 
     async def script(headers: Headers, writer: Writer) -> None:
-        if f"/a/{FATAL}" not in headers["line"]:
+        if f"/a/{FATAL_PATH}" not in headers["line"]:
             writer.write(complete_response(headers, "fine"))
             return
         target = running().targets[number]
@@ -38,96 +40,104 @@
     return script
 
 
-async def resets(headers: Headers, writer: Writer) -> None:
+async def resetting(headers: Headers, writer: Writer) -> None:
     writer.transport.abort()
 
 
 class CrashCase(RelayCase):
     budget = (0.5, 100.0)
 
-    def on_targets(self, work: Callable[[RunningRelay], Awaitable[None]], targets: int) -> None:
-        found: list[RunningRelay] = []
+    def run_with_crashing_targets(
+        self, work: Callable[[RunningRelay], Awaitable[None]], targets: int
+    ) -> None:
+        started: list[RunningRelay] = []
 
-        async def noted(running: RunningRelay) -> None:
-            found.append(running)
+        async def remember(running: RunningRelay) -> None:
+            started.append(running)
             await work(running)
 
-        self.run_with_relay(noted, *(fatal_to(lambda: found[0], n) for n in range(targets)))
+        self.run_with_relay(
+            remember, *(crashing_script(lambda: started[0], n) for n in range(targets))
+        )
 
     def fingerprint(self, running: RunningRelay) -> Fingerprint:
-        (found,) = running.book.fatal()
-        return found
+        (fatal_fingerprint,) = running.book.fatal()
+        return fatal_fingerprint
 
 
 class FatalTests(CrashCase):
     attempts = 2
 
-    async def ask_often(self, running: RunningRelay, times: int) -> list[int]:
+    async def send_repeatedly(self, running: RunningRelay, times: int) -> list[int]:
         return [
-            (await running.send_request(f"/a/{FATAL}", Request=f"r{n}")).status
+            (await running.send_request(f"/a/{FATAL_PATH}", Request=f"r{n}")).status
             for n in range(times)
         ]
 
-    def test_it_is_refused_from_the_third_crash_on_and_never_sent_again(self) -> None:
+    def test_a_fatal_request_is_refused_from_the_third_crash_on(self) -> None:
         async def work(running: RunningRelay) -> None:
-            statuses = await self.ask_often(running, 6)
+            statuses = await self.send_repeatedly(running, 6)
             self.assertEqual([502, 502, 503, 503, 503, 503], statuses)
             self.assertEqual(FATAL_CRASHES, sum(len(each.seen) for each in running.targets))
             self.assertEqual(1, running.metrics.counters["crash.fatal"])
 
-        self.on_targets(work, 8)
+        self.run_with_crashing_targets(work, 8)
 
-    def test_its_caller_is_told_that_it_did_not_run_and_how_long_that_lasts(self) -> None:
+    def test_the_refusal_says_not_run_and_how_long_it_lasts(self) -> None:
         async def work(running: RunningRelay) -> None:
-            await self.ask_often(running, 2)
-            answer = await running.send_request(f"/a/{FATAL}", Request="r9")
+            await self.send_repeatedly(running, 2)
+            answer = await running.send_request(f"/a/{FATAL_PATH}", Request="r9")
             self.assertEqual((503, b"ends_targets\n"), (answer.status, answer.body))
             self.assertGreater(float(answer.headers["Retry-After"]), QUARANTINE_S - 5.0)
             self.assertEqual(2, running.metrics.counters["refused.ends_targets"])
 
-        self.on_targets(work, 8)
+        self.run_with_crashing_targets(work, 8)
 
-    def test_other_requests_go_on(self) -> None:
+    def test_other_requests_are_served(self) -> None:
         async def work(running: RunningRelay) -> None:
-            await self.ask_often(running, 4)
-            self.assertEqual(200, (await running.send_request(f"/a/{OTHER}", Request="r9")).status)
+            await self.send_repeatedly(running, 4)
+            self.assertEqual(
+                200, (await running.send_request(f"/a/{OTHER_PATH}", Request="r9")).status
+            )
             running.body = b"another body"
-            self.assertEqual(502, (await running.send_request(f"/a/{FATAL}", Request="r10")).status)
+            self.assertEqual(
+                502, (await running.send_request(f"/a/{FATAL_PATH}", Request="r10")).status
+            )
 
-        self.on_targets(work, 8)
+        self.run_with_crashing_targets(work, 8)
 
-    def test_resets_of_targets_that_stand_count_for_nothing(self) -> None:
+    def test_resets_by_targets_that_did_not_end_do_not_count(self) -> None:
         async def work(running: RunningRelay) -> None:
-            statuses = await self.ask_often(running, 6)
+            statuses = await self.send_repeatedly(running, 6)
             self.assertEqual({502}, set(statuses))
             self.assertEqual([], running.book.suspects(0.0))
             self.assertNotIn("crash.under_request", running.metrics.counters)
 
-        self.run_with_relay(work, *(resets for _ in range(8)))
+        self.run_with_relay(work, *(resetting for _ in range(8)))
 
-    def test_a_good_end_clears_it(self) -> None:
+    def test_a_completed_run_clears_a_suspect(self) -> None:
         async def work(running: RunningRelay) -> None:
-            self.assertEqual([502], await self.ask_often(running, 1))
+            self.assertEqual([502], await self.send_repeatedly(running, 1))
             (suspect,) = running.book.suspects(0.0)
             self.assertEqual(2, running.book.crash_count(suspect))
             for target in running.targets:
                 if not target.seen:
                     target.script = good
-            self.assertEqual([200], await self.ask_often(running, 1))
+            self.assertEqual([200], await self.send_repeatedly(running, 1))
             self.assertEqual(0, running.book.crash_count(suspect))
 
-        self.on_targets(work, 4)
+        self.run_with_crashing_targets(work, 4)
 
-    def test_long_after_one_try_is_sent_once(self) -> None:
+    def test_after_the_quarantine_a_single_trial_is_sent(self) -> None:
         async def work(running: RunningRelay) -> None:
-            await self.ask_often(running, 3)
+            await self.send_repeatedly(running, 3)
             record = running.book._fatal[self.fingerprint(running)]
             record.last_request_s -= QUARANTINE_S + 1.0
-            self.assertEqual([502, 503, 503], await self.ask_often(running, 3))
+            self.assertEqual([502, 503, 503], await self.send_repeatedly(running, 3))
             self.assertEqual(FATAL_CRASHES + 1, sum(len(each.seen) for each in running.targets))
             self.assertEqual(1, running.metrics.counters["crash.on_trial"])
 
-        self.on_targets(work, 8)
+        self.run_with_crashing_targets(work, 8)
 
 
 async def good(headers: Headers, writer: Writer) -> None:
@@ -139,8 +149,8 @@
     resumable = True
     attempts = 5
 
-    def test_a_stream_whose_resumptions_end_leaders_is_broken_off_at_the_third(self) -> None:
-        found: list[RunningRelay] = []
+    def test_a_stream_is_aborted_at_the_third_leader_that_its_resumptions_end(self) -> None:
+        started: list[RunningRelay] = []
 
         def script(number: int) -> Callable[..., Awaitable[None]]:
             async def ends(headers: Headers, writer: Writer) -> None:
@@ -148,7 +158,7 @@
                 writer.write(stream_response_head(headers) + event_chunk(begin))
                 await writer.drain()
                 await asyncio.sleep(0.05)
-                target = found[0].targets[number]
+                target = started[0].targets[number]
                 assert target.server is not None
                 target.server.close()
                 target.reset()
@@ -156,7 +166,7 @@
             return ends
 
         async def work(running: RunningRelay) -> None:
-            found.append(running)
+            started.append(running)
             answer = await running.send_request()
             self.assertTrue(answer.broken)
             self.assertEqual(FATAL_CRASHES, sum(len(each.seen) for each in running.targets))
--- a/tests/direct/test_crashkeeper.py
+++ b/tests/direct/test_crashkeeper.py
@@ -10,7 +10,7 @@
 from ochreway_core.table import CommitReply, CommitStatus, Row, Transaction
 from ochreway_direct.crashes.crashkeeper import CrashKeeper
 from ochreway_direct.crashes.crashwatch import CrashWatch
-from ochreway_direct.crashes.fatalrow import PREFIX, FatalRow, key_of
+from ochreway_direct.crashes.fatalrow import KEY_PREFIX, FatalRow, row_key
 from ochreway_platform.errors import TableUnavailable
 from ochreway_platform.memorytable import MemoryTable
 from ochreway_routing.crashbook import QUARANTINE_S, CrashBook
@@ -18,43 +18,45 @@
 from ochreway_runtime.metrics import Metrics
 from tests.runtime.recordedlog import RecordedLog
 
-ONE = Fingerprint("one")
+FINGERPRINT = Fingerprint("one")
 TARGETS = [InstanceId(f"i-{n}") for n in range(FATAL_CRASHES)]
 WALL_S = 1.0e9
-BOUND_S = 10.0
+TIMEOUT_S = 10.0
 
 
-class DarkTable(MemoryTable):
+class UnavailableTable(MemoryTable):
     """Answer nothing while it is dark; a write may be done all the same."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.dark = False
-        self.done = False
+        self.unavailable = False
+        self.writes_anyway = False
 
     async def read(self, prefixes: tuple[str, ...]) -> dict[str, Row]:
-        if self.dark:
+        if self.unavailable:
             raise TableUnavailable("dark")
         return dict(self.read_now(prefixes))
 
     async def commit(self, transaction: Transaction) -> CommitReply:
-        if self.dark:
-            if self.done:
+        if self.unavailable:
+            if self.writes_anyway:
                 self.commit_now(transaction)
             return CommitReply(CommitStatus.LOST)
         return self.commit_now(transaction)
 
 
-class Life:
-    """Hold one life of an entry's parts."""
+class Incarnation:
+    """Hold one incarnation of an entry's parts."""
 
-    def __init__(self, table: MemoryTable, wall_s: float = WALL_S, holds: bool = False) -> None:
+    def __init__(
+        self, table: MemoryTable, wall_s: float = WALL_S, holds_lease: bool = False
+    ) -> None:
         self.log, self.metrics = RecordedLog(), Metrics(None, "entry")
         self.book = CrashBook()
         self.watch = CrashWatch(self.book, self.log, self.metrics)
         backoff = Backoff(0.01, 0.02, random.Random(1))
         self.keeper = CrashKeeper(
-            *(NodeId("e"), self.book, self.watch, table, lambda: holds, backoff),
+            *(NodeId("e"), self.book, self.watch, table, lambda: holds_lease, backoff),
             *(self.log, self.metrics, lambda: wall_s),
         )
         self.task = asyncio.create_task(self.keeper.run())
@@ -62,139 +64,141 @@
     def crash(self, times: int = FATAL_CRASHES) -> None:
         now_s = asyncio.get_running_loop().time()
         for target in TARGETS[:times]:
-            self.book.record_crash(ONE, target, now_s)
-            self.watch._changed(ONE)
+            self.book.record_crash(FINGERPRINT, target, now_s)
+            self.watch._notify(FINGERPRINT)
 
-    def left_s(self) -> float:
-        return self.book.check_request(ONE, asyncio.get_running_loop().time()).fatal_for_s
+    def quarantine_left_s(self) -> float:
+        return self.book.check_request(FINGERPRINT, asyncio.get_running_loop().time()).fatal_for_s
 
     async def until(self, check: Callable[[], bool]) -> None:
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not check():
                 await asyncio.sleep(0.005)
 
 
-def lived(work: Callable[[], Awaitable[None]]) -> None:
+def run_async(work: Callable[[], Awaitable[None]]) -> None:
     asyncio.run(work())  # type: ignore[arg-type]
 
 
 class CrashKeeperTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.table = DarkTable()
+        self.table = UnavailableTable()
 
     def keys(self) -> list[str]:
-        return [key for key in self.table.rows if key.startswith(PREFIX)]
+        return [key for key in self.table.rows if key.startswith(KEY_PREFIX)]
 
-    def test_the_next_life_knows_at_once(self) -> None:
+    def test_the_next_incarnation_knows_fatal_requests_at_once(self) -> None:
         async def work() -> None:
-            first = Life(self.table)
+            first = Incarnation(self.table)
             first.crash()
             await first.until(lambda: bool(self.keys()))
             first.task.cancel()
-            second = Life(self.table, WALL_S + 60.0)
+            second = Incarnation(self.table, WALL_S + 60.0)
             await second.until(lambda: bool(second.book.fatal()))
-            self.assertGreater(second.left_s(), QUARANTINE_S - 61.0)
+            self.assertGreater(second.quarantine_left_s(), QUARANTINE_S - 61.0)
             self.assertIn("request_fatal", second.log.names)
 
-        lived(work)
+        run_async(work)
 
     def test_suspects_have_no_row(self) -> None:
         async def work() -> None:
-            life = Life(self.table)
-            life.crash(FATAL_CRASHES - 1)
+            incarnation = Incarnation(self.table)
+            incarnation.crash(FATAL_CRASHES - 1)
             await asyncio.sleep(0.1)
             self.assertEqual([], self.keys())
 
-        lived(work)
+        run_async(work)
 
-    def test_a_good_end_drops_the_row(self) -> None:
+    def test_a_completed_run_deletes_the_row(self) -> None:
         async def work() -> None:
-            life = Life(self.table)
-            life.crash()
-            await life.until(lambda: bool(self.keys()))
-            life.book.record_completion(ONE, asyncio.get_running_loop().time() + 1.0)
-            life.watch._changed(ONE)
-            await life.until(lambda: not self.keys())
+            incarnation = Incarnation(self.table)
+            incarnation.crash()
+            await incarnation.until(lambda: bool(self.keys()))
+            incarnation.book.record_completion(FINGERPRINT, asyncio.get_running_loop().time() + 1.0)
+            incarnation.watch._notify(FINGERPRINT)
+            await incarnation.until(lambda: not self.keys())
 
-        lived(work)
+        run_async(work)
 
-    def test_what_could_not_be_written_is_written_once_the_table_is_back(self) -> None:
+    def test_failed_writes_are_repeated_once_the_table_is_available(self) -> None:
         async def work() -> None:
             for done in (False, True):
-                self.table.dark, self.table.done = False, done
-                life = Life(self.table)
-                await life.until(lambda: self.table.reads > 0)
+                self.table.unavailable, self.table.writes_anyway = False, done
+                incarnation = Incarnation(self.table)
+                await incarnation.until(lambda: self.table.reads > 0)
                 await asyncio.sleep(0.05)
-                self.table.dark = True
-                life.crash()
+                self.table.unavailable = True
+                incarnation.crash()
                 await asyncio.sleep(0.1)
-                self.table.dark = False
-                await life.until(lambda: bool(self.keys()))
-                life.task.cancel()
+                self.table.unavailable = False
+                await incarnation.until(lambda: bool(self.keys()))
+                incarnation.task.cancel()
                 self.table.rows.clear()
 
-        lived(work)
+        run_async(work)
 
-    def test_a_start_while_the_table_is_dark_reads_it_later(self) -> None:
+    def test_a_start_while_the_table_is_unavailable_reads_it_later(self) -> None:
         async def work() -> None:
-            row = FatalRow(ONE, tuple(TARGETS), WALL_S)
-            self.table.rows[key_of(ONE)] = Row(1, row.content())
-            self.table.dark = True
-            life = Life(self.table)
+            row = FatalRow(FINGERPRINT, tuple(TARGETS), WALL_S)
+            self.table.rows[row_key(FINGERPRINT)] = Row(1, row.to_bytes())
+            self.table.unavailable = True
+            incarnation = Incarnation(self.table)
             await asyncio.sleep(0.05)
-            self.assertEqual(0.0, life.left_s())
-            self.table.dark = False
-            await life.until(lambda: life.left_s() > 0.0)
+            self.assertEqual(0.0, incarnation.quarantine_left_s())
+            self.table.unavailable = False
+            await incarnation.until(lambda: incarnation.quarantine_left_s() > 0.0)
 
-        lived(work)
+        run_async(work)
 
-    def test_rows_that_are_old_or_unreadable_count_for_nothing(self) -> None:
+    def test_old_or_unreadable_rows_are_ignored(self) -> None:
         async def work() -> None:
-            old = FatalRow(ONE, tuple(TARGETS), WALL_S - 2 * QUARANTINE_S - 1.0)
-            self.table.rows[key_of(ONE)] = Row(1, old.content())
-            self.table.rows[PREFIX + "bad"] = Row(2, b"\xff")
-            self.table.rows[PREFIX + "nested"] = Row(3, b"\x81" * 50_000)
-            life = Life(self.table)
-            await life.until(lambda: life.metrics.counters.get("crash.row_unreadable") == 2)
+            old = FatalRow(FINGERPRINT, tuple(TARGETS), WALL_S - 2 * QUARANTINE_S - 1.0)
+            self.table.rows[row_key(FINGERPRINT)] = Row(1, old.to_bytes())
+            self.table.rows[KEY_PREFIX + "bad"] = Row(2, b"\xff")
+            self.table.rows[KEY_PREFIX + "nested"] = Row(3, b"\x81" * 50_000)
+            incarnation = Incarnation(self.table)
+            await incarnation.until(
+                lambda: incarnation.metrics.counters.get("crash.row_unreadable") == 2
+            )
             await asyncio.sleep(0.02)
-            self.assertEqual([], life.book.fatal())
+            self.assertEqual([], incarnation.book.fatal())
 
-        lived(work)
+        run_async(work)
 
-    def test_the_holder_writes_what_became_fatal_by_words_alone(self) -> None:
+    def test_the_holder_writes_requests_that_became_fatal_by_messages_alone(self) -> None:
         async def work() -> None:
-            elsewhere = CrashBook()
+            other_book = CrashBook()
             now_s = asyncio.get_running_loop().time()
             for target in TARGETS:
-                elsewhere.record_crash(ONE, target, now_s)
-            holder = Life(self.table, holds=True)
+                other_book.record_crash(FINGERPRINT, target, now_s)
+            holder = Incarnation(self.table, holds_lease=True)
             await asyncio.sleep(0.05)
-            holder.watch.hear(elsewhere.sightings([ONE], now_s), now_s)
+            holder.watch.on_sightings(other_book.sightings([FINGERPRINT], now_s), now_s)
             await holder.until(lambda: bool(self.keys()))
 
-        lived(work)
+        run_async(work)
 
     def test_a_target_that_ended_three_times_still_counts_three_times(self) -> None:
         async def work() -> None:
-            life = Life(self.table)
+            incarnation = Incarnation(self.table)
             now_s = asyncio.get_running_loop().time()
             for number in range(FATAL_CRASHES):
-                life.book.record_crash(ONE, TARGETS[0], now_s + 10.0 * number)
-            life.watch._changed(ONE)
-            await life.until(lambda: bool(self.keys()))
-            second = Life(self.table)
-            await second.until(lambda: second.left_s() > 0.0)
+                incarnation.book.record_crash(FINGERPRINT, TARGETS[0], now_s + 10.0 * number)
+            incarnation.watch._notify(FINGERPRINT)
+            await incarnation.until(lambda: bool(self.keys()))
+            second = Incarnation(self.table)
+            await second.until(lambda: second.quarantine_left_s() > 0.0)
 
-        lived(work)
+        run_async(work)
 
-    def test_the_holder_drops_rows_that_count_no_more(self) -> None:
+    def test_the_holder_deletes_expired_rows(self) -> None:
         async def work() -> None:
-            old = FatalRow(ONE, tuple(TARGETS), WALL_S - 2 * QUARANTINE_S - 1.0)
-            self.table.rows[key_of(ONE)] = Row(1, old.content())
-            holder = Life(self.table, holds=True)
+            old = FatalRow(FINGERPRINT, tuple(TARGETS), WALL_S - 2 * QUARANTINE_S - 1.0)
+            self.table.rows[row_key(FINGERPRINT)] = Row(1, old.to_bytes())
+            holder = Incarnation(self.table, holds_lease=True)
             await holder.until(lambda: self.table.reads > 0)
-            holder.keeper._tidied_s -= QUARANTINE_S
+            holder.keeper._refreshed_s -= QUARANTINE_S
             await holder.until(lambda: not self.keys())
 
-        lived(work)
+        run_async(work)
--- a/tests/direct/test_crashspread.py
+++ b/tests/direct/test_crashspread.py
@@ -10,20 +10,20 @@
 from ochreway_standins.spreadworld import SpreadWorld, VirtualLoop, virtually
 
 HALLS = 5
-SETTLED_S = 12.0
-TOLD_S = 0.3
+SETTLE_S = 12.0
+PROPAGATION_S = 0.3
 """Within what time everyone knows: three hops of a step each, and what is sent in between."""
-HEADS_LOST_S = 6.0
+HEADS_RECOVERY_S = 6.0
 """Within what time after a cell's heads died: others take their place, and are told again."""
 FATAL = Fingerprint("fatal")
 TARGETS = [InstanceId(f"i-{n}") for n in range(FATAL_CRASHES)]
 
 
 class CrashSpreadTests(testtools.TestCase):
-    def spread(self, entries: int, work: Callable[[SpreadWorld], None]) -> None:
+    def run_world(self, entries: int, work: Callable[[SpreadWorld], None]) -> None:
         def run(loop: VirtualLoop) -> None:
             world = SpreadWorld(loop, entries, HALLS)
-            world.run(SETTLED_S)
+            world.run(SETTLE_S)
             work(world)
 
         virtually(run)
@@ -41,12 +41,12 @@
 
             def work(world: SpreadWorld) -> None:
                 world.entries[self.member(world)].crashed(FATAL, TARGETS)
-                world.run(TOLD_S)
+                world.run(PROPAGATION_S)
                 self.assertEqual([], self.unaware(world), len(world.entries))
 
-            self.spread(entries, work)
+            self.run_world(entries, work)
 
-    def test_a_good_end_becomes_known_too(self) -> None:
+    def test_a_completed_run_becomes_known_too(self) -> None:
         for entries in (5, 90):
 
             def work(world: SpreadWorld) -> None:
@@ -61,28 +61,28 @@
                 world.run(3.0)
                 self.assertEqual(len(world.entries), len(self.unaware(world)))
 
-            self.spread(entries, work)
+            self.run_world(entries, work)
 
-    def test_a_cell_whose_heads_died_as_it_was_told_hears_of_it(self) -> None:
+    def test_a_cell_whose_heads_were_lost_during_the_announcement_learns_of_it(self) -> None:
         def work(world: SpreadWorld) -> None:
-            teller = world.entries[self.member(world)]
-            own = {peer.node for peer in teller.heartbeats.contacts()}
-            for node in own:
+            publisher = world.entries[self.member(world)]
+            contacts_of_publisher = {peer.node for peer in publisher.heartbeats.contacts()}
+            for node in contacts_of_publisher:
                 world.lose(node)
-            teller.crashed(FATAL, TARGETS)
-            world.run(HEADS_LOST_S)
+            publisher.crashed(FATAL, TARGETS)
+            world.run(HEADS_RECOVERY_S)
             self.assertEqual([], self.unaware(world))
 
-        self.spread(90, work)
+        self.run_world(90, work)
 
-    def test_what_is_known_already_is_passed_on_no_further(self) -> None:
+    def test_known_crashes_are_not_forwarded_again(self) -> None:
         def work(world: SpreadWorld) -> None:
             world.entries[self.member(world)].crashed(FATAL, TARGETS)
             world.run(1.0)
-            quiet = sum(world.sent.values())
+            sent_before = sum(world.sent.values())
             world.run(3.0)
-            each_s = (sum(world.sent.values()) - quiet) / 3.0 / len(world.entries)
+            messages_per_s = (sum(world.sent.values()) - sent_before) / 3.0 / len(world.entries)
             # Heartbeats and as many repeats, no more: 29 a second on average among 300 entries.
-            self.assertLess(each_s, 2 * 40.0)
+            self.assertLess(messages_per_s, 2 * 40.0)
 
-        self.spread(90, work)
+        self.run_world(90, work)
--- a/tests/direct/test_reborn.py
+++ b/tests/direct/test_reborn.py
@@ -14,7 +14,7 @@
 DOMAIN = DomainId("d0")
 
 
-class RebornTests(testtools.TestCase):
+class ReusedAddressTests(testtools.TestCase):
     def world(self) -> EngineWorld:
         """Return a world in which two engines are listed, at one address, and one is there."""
         world = EngineWorld(domains=1, engines=SMALL.size)
@@ -25,10 +25,10 @@
         world.run_until(lambda: not world.coordinator.views(), 10.0)
         return world
 
-    def assert_whole(self, world: EngineWorld, for_s: float) -> None:
+    def assert_members_present(self, world: EngineWorld, duration_s: float) -> None:
         """Check that no group is opened with a member that is not there."""
         before = set(world.coordinator.groups)
-        for _ in range(round(for_s / STEP_S)):
+        for _ in range(round(duration_s / STEP_S)):
             world.step()
             for name, group in world.coordinator.groups.items():
                 if name not in before:
@@ -37,17 +37,17 @@
                 members = world.coordinator.groups[view.group].members
                 self.assertEqual(set(), set(members) & set(world.replaced))
 
-    def test_no_group_is_opened_with_the_one_that_ended(self) -> None:
-        self.assert_whole(self.world(), 30.0)
+    def test_no_group_is_opened_with_the_engine_that_ended(self) -> None:
+        self.assert_members_present(self.world(), 30.0)
 
-    def test_also_under_a_new_holder_of_the_lease(self) -> None:
+    def test_no_group_is_opened_with_it_by_a_new_lease_holder(self) -> None:
         world = self.world()
         world.take_over()
-        self.assert_whole(world, 30.0)
+        self.assert_members_present(world, 30.0)
 
-    def test_the_new_one_serves_with_others(self) -> None:
+    def test_the_new_engine_serves_with_others(self) -> None:
         world = self.world()
         world.add(DOMAIN)
-        self.assert_whole(world, 1.0)
+        self.assert_members_present(world, 1.0)
         world.run_until(lambda: world.serving(SMALL) > 0, 60.0)
-        self.assert_whole(world, 10.0)
+        self.assert_members_present(world, 10.0)
