--- a/packages/ochreway-direct/src/ochreway_direct/crashes/__init__.py
+++ b/packages/ochreway-direct/src/ochreway_direct/crashes/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Requests that end their targets: seen, told to all entries, kept and refused."""
+"""Requests that crash their targets: detected, announced to all entries, stored and refused."""
--- a/packages/ochreway-direct/src/ochreway_direct/crashes/crashkeeper.py
+++ b/packages/ochreway-direct/src/ochreway_direct/crashes/crashkeeper.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Keeping fatal requests in the platform's table, for when all entries have ended at once."""
+"""Storage of fatal requests in the platform's table, in case all entries end at once."""
 
 import asyncio
 import time
@@ -18,22 +18,23 @@
 from ochreway_runtime.metrics import Metrics
 
 SCAN_INTERVAL_S = 1.0
-"""How often the holder of the lease looks for fatal requests without a row.
+"""How often the holder of the lease checks for fatal requests without a row.
 
-Whoever saw the third crash writes at once; where two entries saw one each at the same moment,
-neither did.
+The entry that sees the third crash writes a row at once. If two entries see one crash each at the
+same moment, neither of them does.
 """
 REFRESH_INTERVAL_S = QUARANTINE_S / 2
-"""How often the holder of the lease writes rows anew that still count, and drops the others."""
+"""How often the holder of the lease rewrites rows that are still valid and deletes the others."""
 MAX_ROWS_PER_WRITE = 50
-"""How many rows one transaction has; the platform takes 100."""
+"""Rows per transaction; the platform accepts 100."""
 
 
 class CrashKeeper:
-    """Write a row when a request becomes fatal, drop it when it is cleared, read all at the start.
+    """Write a row when a request becomes fatal, delete it when cleared, read all at the start.
 
-    Without rows three further targets end under each fatal request after every end of all entries.
-    It costs a write for each such request, a read at each start and one in five minutes.
+    Without rows, each fatal request would end three further targets whenever all entries have
+    ended. The cost is a write for each such request, a read at each start and one every five
+    minutes.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         metrics: Metrics,
         wall: Callable[[], float] = time.time,
     ) -> None:
-        """Start with the parts given; ``holds`` tells whether this entry holds the lease."""
+        """Create a keeper; ``holds_lease`` returns whether this entry holds the lease."""
         self._me = me
         self._book = book
         self._watch = watch
@@ -67,7 +68,7 @@
         watch.add_listener(self._on_changed)
 
     def _on_changed(self, fingerprints: list[Fingerprint]) -> None:
-        """Have those written that have become fatal here, or are so no more."""
+        """Schedule writes for requests that have become fatal here or no longer are."""
         for fingerprint in fingerprints:
             if self._is_fatal(fingerprint) != (fingerprint in self._stored):
                 self._pending[fingerprint] = None
@@ -77,7 +78,7 @@
         return self._book.crash_count(fingerprint) >= FATAL_CRASHES
 
     async def run(self) -> None:
-        """Read all rows, then write what is due until cancelled."""
+        """Read all rows, then write pending changes until cancelled."""
         while not await self._restore():
             await asyncio.sleep(self._backoff.failed())
         while True:
@@ -99,7 +100,7 @@
             self._wake.clear()
 
     async def _restore(self) -> bool:
-        """Take the rows that still count; return whether the table answered."""
+        """Apply the rows that are still valid; return whether the table answered."""
         rows = await self._read()
         if rows is None:
             return False
@@ -129,7 +130,7 @@
         return fatal_row
 
     async def _write(self, fingerprints: list[Fingerprint]) -> bool:
-        """Write or drop the rows of some requests; return whether that was done."""
+        """Write or delete the rows of some requests; return whether they were committed."""
         writes = {row_key(each): self._row_content(each) for each in fingerprints}
         if not await self._commit(writes):
             return False
@@ -157,7 +158,7 @@
         return committed
 
     async def _refresh_rows(self) -> None:
-        """Write rows of requests that are still fatal anew, and drop those that count no more."""
+        """Rewrite rows of requests that are still asked for, and delete expired rows."""
         self._refreshed_s = self._loop.time()
         rows = await self._read()
         if rows is None:
@@ -170,15 +171,15 @@
         self._pending.update(dict.fromkeys(to_write))
 
     def _requested_since_write(self, row: FatalRow, wall_s: float) -> bool:
-        """Tell whether a request was asked for since its row was written."""
+        """Return whether a request was received since its row was written."""
         request_age_s = self._book.asked_age_s(row.fingerprint, self._loop.time())
         return request_age_s is not None and request_age_s < row.age_s(wall_s)
 
 
 def _distinct_names(targets: tuple[InstanceId, ...]) -> tuple[InstanceId, ...]:
-    """Return as many names as crashes make a request fatal, each its own.
+    """Return as many distinct names as it takes crashes to make a request fatal.
 
-    The same target may have ended more than once; a row has no times to tell that by.
+    The same target may have ended more than once, and a row has no times that would show this.
     """
     aliases = (InstanceId(f"{targets[0]}#{n}") for n in range(FATAL_CRASHES - len(targets)))
     return (*targets, *aliases)
--- a/packages/ochreway-direct/src/ochreway_direct/crashes/crashspread.py
+++ b/packages/ochreway-direct/src/ochreway_direct/crashes/crashspread.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Passing on among entries under which requests targets ended."""
+"""Propagation among entries of requests that ended targets."""
 
 import asyncio
 
@@ -12,26 +12,27 @@
 from ochreway_wire.links import Links
 
 SUSPECT_MAX_AGE_S = 30.0
-"""How old the suspects are at most that an entry is told of when a link to it begins.
+"""Age of the oldest suspects that are announced to an entry when a link to it opens.
 
-Callers who were under way at a crash have come back or given up by then; fatal requests are told
-whatever their age.
+By then callers whose requests were under way at a crash have retried or given up. Fatal requests
+are announced whatever their age.
 """
 MAX_SIGHTINGS_PER_MESSAGE = 500
-"""How many requests one message tells of: some 60 KB."""
+"""Requests per message: some 60 KB."""
 REPEATED_PER_HEARTBEAT = 4
-"""How many fatal requests are told again with each heartbeat, in turn.
+"""Fatal requests that are announced again with each heartbeat, in rotation.
 
-So an entry that missed a word for any reason learns of a fatal request within seconds, and of when
-it was last asked for elsewhere.
+So an entry that missed a message for any reason learns within seconds of a fatal request, and of
+when it was last received by other entries.
 """
 
 
 class CrashSpread:
-    """Tell other entries at once, and all that counts to each with which a link begins.
+    """Announce crashes to other entries at once, and all relevant ones on each new link.
 
-    Entries tell those that they exchange heartbeats with. Among many, heads pass on what is news:
-    a member's to all heads and their own members, another head's to their own members.
+    Entries send to those with which they exchange heartbeats. In large fleets, heads forward what
+    is new to them: from a member to all heads and to their own members, from another head to their
+    own members.
     """
 
     def __init__(
@@ -46,7 +47,7 @@
         watch.add_listener(self.announce)
 
     def announce(self, fingerprints: list[Fingerprint]) -> None:
-        """Tell of some requests soon: all callers of a lost target break off in one moment."""
+        """Schedule an announcement, batched as all calls to a lost target break off at once."""
         if not self._pending:
             self._loop.call_soon(self._flush)
         self._pending.update(dict.fromkeys(fingerprints))
@@ -56,13 +57,13 @@
         self._send(pending, self._heartbeats.contacts())
 
     def on_linked(self, peer: Peer) -> None:
-        """Tell an entry with which a link has just begun what counts."""
+        """Send the relevant suspects and all fatal requests to an entry on a new link."""
         now_s = self._loop.time()
         relevant = [*self._book.suspects(now_s - SUSPECT_MAX_AGE_S), *self._book.fatal()]
         self._send(relevant, [peer])
 
     def announce_again(self, now_s: float) -> None:
-        """Tell of some fatal requests again, and forget what is too old."""
+        """Announce some fatal requests again, and drop expired records."""
         self._book.expire(now_s)
         fatal = self._book.fatal()
         begin = int(now_s * 1000) % len(fatal) if len(fatal) > REPEATED_PER_HEARTBEAT else 0
@@ -70,7 +71,7 @@
         self._send(chosen, self._heartbeats.contacts())
 
     def on_news(self, sender: Peer, news: CrashNews) -> None:
-        """Take what another entry tells, and pass on what is news."""
+        """Apply an announcement of another entry, and forward what is new."""
         new_fingerprints = self._watch.on_sightings(news.sightings, self._loop.time())
         if new_fingerprints:
             receivers = self._heartbeats.forwarding_peers(sender.node)
--- a/packages/ochreway-direct/src/ochreway_direct/crashes/crashwatch.py
+++ b/packages/ochreway-direct/src/ochreway_direct/crashes/crashwatch.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Keeping requests from targets that would end under them."""
+"""Detection and refusal of requests that end their targets."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,29 +15,29 @@
 from ochreway_runtime.metrics import Metrics
 
 MIN_LOGGED_CRASHES = 2
-"""From how many crashes on a line is written: after one all callers of a target are suspects."""
+"""Crashes from which a request is logged; after one, all requests of a target are suspects."""
 MAX_CHECK_WAIT_S = 0.1
-"""How long a call waits to learn whether its target ended, before it may be sent on.
+"""How long a call waits for the check if its target ended, before it may be sent elsewhere.
 
-A refused connection takes a round trip, 3 ms between halls; a target that does not answer costs
-the call this much, and what is found later counts all the same.
+A refused connection takes one round trip, 3 ms between halls. A target that does not answer costs
+the call this much; the result of the check is recorded all the same when it comes later.
 """
 
 ChangeListener = Callable[[list[Fingerprint]], None]
-"""Told of the requests of which something is known that other entries do not know."""
+"""Called with the requests about which this entry knows something that others do not."""
 
 
 class CrashWatch:
-    """Note under which requests targets end, and which of them are sent no more.
+    """Record which requests end targets, and decide which of them are not sent any more.
 
-    Each request costs its fingerprint, 2.3 us with 700 bytes of body, and a look into a table when
-    it comes and when it ends, 0.6 us together (``python -m ochreway_standins.slopes.crashes``).
+    Each request costs its fingerprint, 2.3 us with 700 bytes of body, and two table lookups, at its
+    start and its end, 0.6 us together (``python -m ochreway_standins.slopes.crashes``).
     """
 
     def __init__(
         self, book: CrashBook, log: EventLog, metrics: Metrics, refuses: bool = True
     ) -> None:
-        """Start with the parts given; one that does not refuse only counts, for measurements."""
+        """Create a watch; without ``refuses`` it only counts crashes, for measurements."""
         self._refuses = refuses
         self._book = book
         self._check = TargetCheck()
@@ -48,7 +48,7 @@
         self._listeners: list[ChangeListener] = []
 
     def add_listener(self, listener: ChangeListener) -> None:
-        """Have a part told of the requests that this entry learns something of by itself."""
+        """Add a listener for requests about which this entry learns something by itself."""
         self._listeners.append(listener)
 
     def _notify(self, fingerprint: Fingerprint) -> None:
@@ -56,7 +56,7 @@
             listener([fingerprint])
 
     def fatal_for_s(self, call: Call) -> float:
-        """Return for how long a call must not be sent; 0 when it may be."""
+        """Return for how long a call must not be sent; 0 if it may be sent now."""
         if not self._refuses or (call.on_trial and not call.sends):
             return 0.0
         verdict = self._book.check_request(call.fingerprint, self._loop.time())
@@ -65,14 +65,14 @@
         return verdict.fatal_for_s
 
     def _start_trial(self, call: Call) -> None:
-        """Let one call be sent once, after its like was long not asked for; others wait for it."""
+        """Let one call be sent once, if no such request came for long; others wait for it."""
         call.on_trial = True
         self._metrics.count("crash.on_trial")
         self._log.event("request_on_trial", fingerprint=call.fingerprint)
         self._notify(call.fingerprint)
 
     def on_completed(self, call: Call) -> None:
-        """Note that a target ran a call to its end and goes on."""
+        """Record that a target completed a call and continues to run."""
         crashes = self._book.crash_count(call.fingerprint)
         if self._book.record_completion(call.fingerprint, self._loop.time()):
             if crashes >= MIN_LOGGED_CRASHES:
@@ -81,7 +81,7 @@
             self._notify(call.fingerprint)
 
     async def on_disconnected(self, call: Call, attempt: Attempt) -> None:
-        """Find out whether the target of an attempt that broke off has ended, and note it."""
+        """Check whether the target of an attempt that broke off has ended, and record it."""
         task = asyncio.create_task(self._check_target(call.fingerprint, attempt))
         self._running_checks.add(task)
         task.add_done_callback(self._running_checks.discard)
@@ -100,7 +100,7 @@
     def on_sightings(
         self, sightings: tuple[CrashSighting, ...], received_s: float
     ) -> list[Fingerprint]:
-        """Take what another entry tells; return the requests of which it was news."""
+        """Merge sightings of another entry; return the requests for which they were new."""
         new_fingerprints = [
             sighting.fingerprint
             for sighting in sightings
@@ -111,7 +111,7 @@
         return new_fingerprints
 
     def _log_crashes(self, fingerprint: Fingerprint) -> None:
-        """Write what is known of a request that several targets ended under."""
+        """Log what is known about a request that ended several targets."""
         crashes = self._book.crash_count(fingerprint)
         if crashes < MIN_LOGGED_CRASHES:
             return
@@ -125,7 +125,7 @@
         self._log.fault("request_fatal", fingerprint=fingerprint, targets=targets)
 
     def gauges(self) -> dict[str, float]:
-        """Return how many requests are sent no more, and how many are suspects."""
+        """Return the numbers of fatal requests and of suspects."""
         suspects = len(self._book.suspects(float("-inf")))
         return {"requests_fatal": float(len(self._book.fatal())), "requests_suspected": suspects}
 
--- a/packages/ochreway-direct/src/ochreway_direct/crashes/fatalrow.py
+++ b/packages/ochreway-direct/src/ochreway_direct/crashes/fatalrow.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The row by which a fatal request outlasts every process."""
+"""Row that stores a fatal request beyond the life of all processes."""
 
 from dataclasses import dataclass
 
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FatalRow:
-    """Hold the targets that ended under a request, and the time of day at which that was written.
+    """Hold the targets that a request ended, and the wall-clock time of the write.
 
-    Only that clock is common to all processes; it is off by seconds at the most, and what goes by
-    it lasts minutes.
+    Only the wall clock is common to all processes. It is off by seconds at most, while the ages
+    computed from it matter in minutes.
     """
 
     fingerprint: Fingerprint
@@ -24,17 +24,17 @@
     written_wall_s: float
 
     def age_s(self, wall_s: float) -> float:
-        """Return how long ago the row was written, by the time of day."""
+        """Return how long ago the row was written, by the wall clock."""
         return max(0.0, wall_s - self.written_wall_s)
 
     def to_sighting(self, wall_s: float) -> CrashSighting:
-        """Return what the row tells, as another entry would."""
+        """Return the row as a sighting, as another entry would announce it."""
         age_s = self.age_s(wall_s)
         crashes = tuple(SeenCrash(target, age_s) for target in self.targets)
         return CrashSighting(self.fingerprint, crashes, age_s)
 
     def to_bytes(self) -> bytes:
-        """Return the row as it is kept."""
+        """Return the encoded row."""
         return encode(self)
 
 
@@ -44,7 +44,7 @@
 
 
 def decode_row(content: bytes) -> FatalRow | None:
-    """Return a row, or None when nobody can read it."""
+    """Decode a row; return None if it is unreadable."""
     try:
         return decode(FatalRow, content)
     except CodecError:
--- a/tests/direct/test_crashes.py
+++ b/tests/direct/test_crashes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A request under which targets end is sent no more, by one entry; others are served."""
+"""One entry stops sending a request that ends targets; other requests are served."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -26,7 +26,7 @@
 def crashing_script(
     running: Callable[[], RunningRelay], number: int
 ) -> Callable[..., Awaitable[None]]:
-    """Return a script by which a target ends under requests for one path and answers others."""
+    """Return a script that ends its target on requests for one path and answers others."""
 
     async def script(headers: Headers, writer: Writer) -> None:
         if f"/a/{FATAL_PATH}" not in headers["line"]:
--- a/tests/direct/test_crashkeeper.py
+++ b/tests/direct/test_crashkeeper.py
@@ -25,7 +25,7 @@
 
 
 class UnavailableTable(MemoryTable):
-    """Answer nothing while it is dark; a write may be done all the same."""
+    """A table that does not answer while it is unavailable; a write may still be committed."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -34,7 +34,7 @@
 
     async def read(self, prefixes: tuple[str, ...]) -> dict[str, Row]:
         if self.unavailable:
-            raise TableUnavailable("dark")
+            raise TableUnavailable("unavailable")
         return dict(self.read_now(prefixes))
 
     async def commit(self, transaction: Transaction) -> CommitReply:
@@ -46,7 +46,7 @@
 
 
 class Incarnation:
-    """Hold one incarnation of an entry's parts."""
+    """The crash book, watch and keeper of one incarnation of an entry."""
 
     def __init__(
         self, table: MemoryTable, wall_s: float = WALL_S, holds_lease: bool = False
--- a/tests/direct/test_crashspread.py
+++ b/tests/direct/test_crashspread.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A fatal request becomes known to every entry, among few and among many."""
+"""A fatal request becomes known to all entries, in small and large fleets."""
 
 from collections.abc import Callable
 
@@ -12,9 +12,9 @@
 HALLS = 5
 SETTLE_S = 12.0
 PROPAGATION_S = 0.3
-"""Within what time everyone knows: three hops of a step each, and what is sent in between."""
+"""Time until all entries know: three hops of a step each, and what is sent in between."""
 HEADS_RECOVERY_S = 6.0
-"""Within what time after a cell's heads died: others take their place, and are told again."""
+"""Time after the loss of a cell's heads: others replace them and get the next announcement."""
 FATAL = Fingerprint("fatal")
 TARGETS = [InstanceId(f"i-{n}") for n in range(FATAL_CRASHES)]
 
@@ -32,7 +32,7 @@
         return [n for n, entry in world.entries.items() if not entry.crashes.fatal()]
 
     def member(self, world: SpreadWorld) -> NodeId:
-        """Return an entry that speaks for nobody, or any where all tell all."""
+        """Return an entry that is not a head, or any entry where there are no heads."""
         members = [n for n, entry in world.entries.items() if not entry.heartbeats.head]
         return members[0] if members else next(iter(world.entries))
 
@@ -82,7 +82,7 @@
             sent_before = sum(world.sent.values())
             world.run(3.0)
             messages_per_s = (sum(world.sent.values()) - sent_before) / 3.0 / len(world.entries)
-            # Heartbeats and as many repeats, no more: 29 a second on average among 300 entries.
+            # Only heartbeats and as many repeats: 29 per second on average among 300 entries.
             self.assertLess(messages_per_s, 2 * 40.0)
 
         self.run_world(90, work)
--- a/tests/direct/test_reborn.py
+++ b/tests/direct/test_reborn.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The pattern: an engine ends and another starts at its address, while the list names both.
+"""An engine ends and another starts at its address, while the list names both.
 
-Found by a hunted day that crashes engines behind a cut: a group of the two was opened, though one
-of them was not there. Reports say nothing of who gives them; the new engine's own report was taken
-for that of the old one as well, and so the group looked whole.
+A group of these two was opened although one of them had ended. Reports do not identify their
+sender, so the new engine's report was taken for that of the old one too, and the group looked
+complete. Crashes of engines behind a network partition led to this.
 """
 
 import testtools
@@ -16,7 +16,7 @@
 
 class ReusedAddressTests(testtools.TestCase):
     def world(self) -> EngineWorld:
-        """Return a world in which two engines are listed, at one address, and one is there."""
+        """Return a world that lists two engines at one address, where only one of them runs."""
         world = EngineWorld(domains=1, engines=SMALL.size)
         world.run_until(lambda: world.serving(SMALL) > 0, 30.0)
         first, second = list(world.engines)
@@ -26,7 +26,7 @@
         return world
 
     def assert_members_present(self, world: EngineWorld, duration_s: float) -> None:
-        """Check that no group is opened with a member that is not there."""
+        """Check that no group is opened with a member that has ended."""
         before = set(world.coordinator.groups)
         for _ in range(round(duration_s / STEP_S)):
             world.step()
