--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -158,7 +158,7 @@
             _tuning(settings),
             self.spawn,
             self._step_soon,
-            self.lease.doubt,
+            self.lease.renew_at_once,
             self.lag,
             lambda group: fleet.load(group) > 0,
             self.notices,
@@ -169,7 +169,7 @@
         self._drains = DrainKeeper(
             HallDrains(settings.hall_drain_s),
             fleet,
-            self.coordination.coordinator.drain,
+            self.coordination.coordinator.set_drained_halls,
             self._halls_changed,
             log,
             metrics,
--- a/packages/ochreway-direct/src/ochreway_direct/leases/lease.py
+++ b/packages/ochreway-direct/src/ochreway_direct/leases/lease.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The lease of the one entry that forms groups: a row in the platform's table."""
+"""Lease of the one entry that forms groups, stored as a row in the platform's table."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,13 +14,13 @@
 from ochreway_platform.table import Table
 
 LEASE_KEY = "lease/coordinator"
-RELEASE_S = 0.6
-"""How long a process that ends waits for its release to be written: many usual answers."""
+RELEASE_TIMEOUT_S = 0.6
+"""Maximum wait for the release to be written when a process ends; many usual response times."""
 
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """Name one life of a process."""
+    """Incarnation of a process."""
 
     node: NodeId
     incarnation: str
@@ -28,28 +28,28 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRow:
-    """Hold who has the lease, as of which change; a released one may be taken at once."""
+    """Holder of the lease as of a change; a released lease can be acquired at once."""
 
     holder: Holder
     change: str
     released: bool = False
 
 
-ENDED = ""
+ENDED_INCARNATION = ""
 """Stands for the incarnation of a process that has ended."""
 
 
 class LeaseState(Enum):
-    """Say whether this process has the lease."""
+    """Whether this process holds the lease."""
 
     ABSENT = "absent"
     HELD = "held"
 
 
 class Lease:
-    """Take, renew and release the lease; every write requires the row as it was last seen.
+    """Acquire, renew and release the lease; each write requires the row as it was last read.
 
-    A write without an answer is settled by reading the change back, never by guessing.
+    If a write has no reply, its outcome is determined by reading the row back.
     """
 
     def __init__(self, table: Table, holder: Holder, renew_s: float, backoff: Backoff) -> None:
@@ -57,58 +57,58 @@
         self._holder = holder
         self._renew_s = renew_s
         self._backoff = backoff
-        self._alive: dict[NodeId, str] = {holder.node: holder.incarnation}
+        self._incarnations: dict[NodeId, str] = {holder.node: holder.incarnation}
         self._changes = 0
         self._retry_s = 0.0
         self.state = LeaseState.ABSENT
         self.revision = ABSENT
         self.row: LeaseRow | None = None
-        self.taken_at = ABSENT
+        self.acquired_revision = ABSENT
         self.renewed_s = 0.0
-        self.seen_s = 0.0
+        self.unchanged_since_s = 0.0
 
     @property
     def held(self) -> bool:
-        """Tell whether this process took the lease and has not seen it lost."""
+        """Return whether this process acquired the lease and has not observed its loss."""
         return self.state is LeaseState.HELD
 
     def due(self, now_s: float) -> bool:
-        """Tell whether the lease has to be renewed now."""
+        """Return whether the lease has to be renewed now."""
         return self.held and now_s >= max(self._retry_s, self.renewed_s + self._renew_s)
 
-    def doubt(self) -> None:
-        """Have the lease renewed at once, as an order was refused for a newer one's sake."""
+    def renew_at_once(self) -> None:
+        """Make the renewal due at once, as an engine refused an order for a newer epoch."""
         self.renewed_s = 0.0
 
-    def allowed(self, now_s: float) -> bool:
-        """Tell whether the table may be asked again after its last failure."""
+    def may_retry(self, now_s: float) -> bool:
+        """Return whether the table may be accessed again after its last failure."""
         return now_s >= self._retry_s
 
-    def hear(self, revision: int, now_s: float) -> None:
-        """Note a revision that its holder spoke of."""
+    def record_revision(self, revision: int, now_s: float) -> None:
+        """Record a revision that the lease holder announced."""
         if not self.held and revision > self.revision:
             self.revision = revision
-            self.seen_s = now_s
+            self.unchanged_since_s = now_s
 
-    def note_alive(self, process: Holder) -> None:
-        """Note which life of another process speaks, as any former one has ended."""
-        self._alive[process.node] = process.incarnation
+    def record_incarnation(self, process: Holder) -> None:
+        """Record the current incarnation of another process; any former one has ended."""
+        self._incarnations[process.node] = process.incarnation
 
-    def note_ended(self, node: NodeId) -> None:
-        """Note that a process has ended, until one speaks under its name again."""
-        self._alive[node] = ENDED
+    def record_ended(self, node: NodeId) -> None:
+        """Record that a process has ended, until one is seen under its name again."""
+        self._incarnations[node] = ENDED_INCARNATION
 
-    def _ended(self, holder: Holder) -> bool:
-        """Tell whether the holder is known to have ended, or a later life of it speaks."""
-        return self._alive.get(holder.node, holder.incarnation) != holder.incarnation
+    def _has_ended(self, holder: Holder) -> bool:
+        """Return whether the holder is known to have ended or to have a later incarnation."""
+        return self._incarnations.get(holder.node, holder.incarnation) != holder.incarnation
 
-    def free(self, now_s: float, unchanged_s: float) -> bool:
-        """Tell whether the lease may be taken: released, or not renewed for a while."""
-        if not self.allowed(now_s):
+    def is_available(self, now_s: float, takeover_delay_s: float) -> bool:
+        """Return whether the lease may be acquired: released, ended, or unchanged for a while."""
+        if not self.may_retry(now_s):
             return False
-        if self.row is None or self.row.released or self._ended(self.row.holder):
+        if self.row is None or self.row.released or self._has_ended(self.row.holder):
             return True
-        return now_s - self.seen_s >= unchanged_s
+        return now_s - self.unchanged_since_s >= takeover_delay_s
 
     async def observe(self, now_s: float) -> None:
         """Read the row."""
@@ -118,37 +118,37 @@
             self._retry_s = now_s + self._backoff.failed()
             return
         self._backoff.succeeded()
-        self._see(rows.get(LEASE_KEY), now_s)
+        self._apply_row(rows.get(LEASE_KEY), now_s)
 
-    def _see(self, row: Row | None, now_s: float) -> None:
+    def _apply_row(self, row: Row | None, now_s: float) -> None:
         revision = row.revision if row is not None else ABSENT
-        if revision != self.revision or self.seen_s == 0.0:
+        if revision != self.revision or self.unchanged_since_s == 0.0:
             self.revision = revision
-            self.seen_s = now_s
-        self.row = _read(row)
+            self.unchanged_since_s = now_s
+        self.row = _decode_row(row)
 
-    async def take(self, now_s: float) -> bool:
-        """Take the lease from the state last seen; return whether that was done."""
+    async def acquire(self, now_s: float) -> bool:
+        """Acquire the lease if the row is as last read; return whether it was acquired."""
         if not await self._write(released=False, now_s=now_s):
             return False
         self.state = LeaseState.HELD
-        self.taken_at = self.revision
+        self.acquired_revision = self.revision
         return True
 
     async def renew(self, now_s: float) -> None:
-        """Renew the lease, or find that it was lost."""
+        """Renew the lease, or observe that it was lost."""
         await self._write(released=False, now_s=now_s)
 
     async def release(self, now_s: float) -> bool:
-        """Give the lease back, so that another may take it at once; return whether that was done.
+        """Release the lease for others to acquire at once; return whether that was written.
 
-        A process that ends does not wait for a store that is silent: others take the lease once
-        its holder has been silent too.
+        A process that ends does not wait for a silent store: others acquire the lease once its
+        holder has been silent too.
         """
         if not self.held:
             return True
         try:
-            async with asyncio.timeout(RELEASE_S):
+            async with asyncio.timeout(RELEASE_TIMEOUT_S):
                 return await self._write(released=True, now_s=now_s)
         except TimeoutError:
             return False
@@ -162,45 +162,45 @@
         conditions = (Condition(LEASE_KEY, self.revision),)
         reply = await self._table.commit(Transaction(change, conditions, {LEASE_KEY: content}))
         if reply.status is CommitStatus.COMMITTED:
-            self._written(reply.revision, now_s)
+            self._on_written(reply.revision, now_s)
             return True
         if reply.status is CommitStatus.CONFLICT:
             self.state = LeaseState.ABSENT
             await self.observe(now_s)
-            return self._settled(change, now_s)
-        return await self._settle(change, now_s)
+            return self._confirm_change(change, now_s)
+        return await self._resolve_lost_reply(change, now_s)
 
-    async def _settle(self, change: ChangeId, now_s: float) -> bool:
-        """Find out what became of a write whose answer did not come."""
+    async def _resolve_lost_reply(self, change: ChangeId, now_s: float) -> bool:
+        """Read back the outcome of a write that had no reply."""
         self._retry_s = now_s + self._backoff.failed()
         try:
             rows = await self._table.read((LEASE_KEY,))
         except TableUnavailable:
             return False
         row = rows.get(LEASE_KEY)
-        found = _read(row)
-        if row is not None and row.revision != self.revision and found is not None:
-            mine = found.holder == self._holder
-            if not mine:
+        stored = _decode_row(row)
+        if row is not None and row.revision != self.revision and stored is not None:
+            is_own = stored.holder == self._holder
+            if not is_own:
                 self.state = LeaseState.ABSENT
-            self._see(row, now_s)
-        return self._settled(change, now_s)
+            self._apply_row(row, now_s)
+        return self._confirm_change(change, now_s)
 
-    def _settled(self, change: ChangeId, now_s: float) -> bool:
+    def _confirm_change(self, change: ChangeId, now_s: float) -> bool:
         if self.row is None or self.row.change != change:
             return False
-        self._written(self.revision, now_s)
+        self._on_written(self.revision, now_s)
         return True
 
-    def _written(self, revision: int, now_s: float) -> None:
+    def _on_written(self, revision: int, now_s: float) -> None:
         self._backoff.succeeded()
         self._retry_s = 0.0
         self.revision = revision
         self.renewed_s = now_s
-        self.seen_s = now_s
+        self.unchanged_since_s = now_s
 
 
-def _read(row: Row | None) -> LeaseRow | None:
+def _decode_row(row: Row | None) -> LeaseRow | None:
     if row is None:
         return None
     try:
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/loans.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/loans.py
@@ -47,8 +47,8 @@
         """Return the loan for a heartbeat that is sent to an entry now, if any."""
         if not self._lease.held:
             return None
-        if self._lease_taken_at != self._lease.taken_at:
-            self._lease_taken_at = self._lease.taken_at
+        if self._lease_taken_at != self._lease.acquired_revision:
+            self._lease_taken_at = self._lease.acquired_revision
             self._lender.on_lease_taken(now_s)
         amounts = self._limit.lendable()
         if not amounts or not self._lender.may_lend(self._lease.renewed_s, now_s):
--- a/tests/direct/sendworld.py
+++ b/tests/direct/sendworld.py
@@ -149,7 +149,7 @@
 
     def take_lease(self, now_s: float) -> bool:
         run_synchronously(self.lease.observe(now_s))
-        return run_synchronously(self.lease.take(now_s))
+        return run_synchronously(self.lease.acquire(now_s))
 
 
 @dataclass(slots=True)
--- a/tests/direct/test_staging.py
+++ b/tests/direct/test_staging.py
@@ -9,10 +9,10 @@
 
 
 class EarlyLoadTests(testtools.TestCase):
-    """What is loaded before anybody asks, at the first start of a site and at a later one."""
+    """Loads before the first request, at the first start of a site and at a later one."""
 
     def loads_begun(self, first_start: bool) -> int:
-        """Return how many engines got weights within the window of the bound."""
+        """Return how many engines got weights within the window of the load limit."""
         tuning = CoordinatorTuning(first_start=first_start, loads_window_s=30.0, loads_excess=0.1)
         world = EngineWorld(domains=3, engines=8, lag_s=0.1, tuning=tuning)
         world.load_speed = 10.0
@@ -23,13 +23,13 @@
         self.assertEqual(24, self.loads_begun(first_start=True))
 
     def test_loads_are_bounded_at_a_start_that_is_not_the_first(self) -> None:
-        # Groups join by loading, all members or none, so the bound is not always used up.
+        # Members of a group load together or not at all, so the limit is not always used up.
         at_most = CoordinatorTuning(loads_window_s=30.0, loads_excess=0.1).loads_at_most(
             SPEC.loads_per_s
         )
         self.assertLessEqual(self.loads_begun(first_start=False), at_most)
 
-    def test_first_loads_wait_until_the_list_is_whole(self) -> None:
+    def test_first_loads_wait_until_the_list_is_complete(self) -> None:
         world = EngineWorld(domains=0, lag_s=0.1)
         for number in range(6):
             world.add(NEAR).listed_s = world.now_s + 0.4 * number
@@ -37,7 +37,7 @@
         self.assertFalse(any(each.loading for each in world.engines.values()))
         world.run_until(lambda: any(each.loading for each in world.engines.values()), 3.0)
 
-    def test_the_small_models_weights_stand_beside_large_groups_before_the_work_is_known(
+    def test_small_weights_are_staged_on_large_groups_before_demand_is_known(
         self,
     ) -> None:
         world = EngineWorld(
@@ -51,8 +51,8 @@
 
 
 class StagingTests(testtools.TestCase):
-    def test_an_engine_that_loads_is_not_taken_for_one_that_can_join(self) -> None:
-        """Joining waits for the load, which may push out what it needs: six seconds lost."""
+    def test_a_loading_engine_is_not_asked_to_join(self) -> None:
+        """Guards against a join that waits six seconds for a load that evicts the weights."""
         world = EngineWorld(domains=0)
         for _ in range(LARGE.size):
             world.add(NEAR, LARGE.name)
@@ -68,7 +68,7 @@
         )
         self.assertNotIn(added.instance, [i for each in rest for i in world.engines[each].members])
 
-    def test_weights_that_an_awaited_group_needs_are_not_pushed_out(self) -> None:
+    def test_weights_that_an_awaited_group_needs_are_not_evicted(self) -> None:
         world = EngineWorld(domains=0)
         for staged in (LARGE,) * 3 + (SMALL,) * 6:
             world.add(NEAR, staged.name)
