--- a/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
@@ -92,9 +92,9 @@
             if request.transport is not None:
                 request.transport.abort()
             raise asyncio.CancelledError from broken
-        except (CallerGone, asyncio.CancelledError) as gone:
+        except (CallerGone, asyncio.CancelledError) as error:
             self._metrics.count(f"refused.{Reason.CALLER_GONE.value}")
-            raise asyncio.CancelledError from gone
+            raise asyncio.CancelledError from error
 
     def _refusal(self, terms: CallerTerms, refused: Refused) -> web.Response:
         headers = self._dialect.refusal(terms.request, refused.retry_after_s)
@@ -220,8 +220,8 @@
 
     def _max_queued(self, call: Call) -> int:
         tuning = self._tuning
-        begun = call.answer is not None
-        return tuning.max_queued_resuming if begun else tuning.max_queued
+        answer_begun = call.answer is not None
+        return tuning.max_queued_resuming if answer_begun else tuning.max_queued
 
     def _pick_candidate(self, call: Call, now_s: float) -> Attempt | None:
         if call.engine is not None:
--- a/packages/ochreway-direct/src/ochreway_direct/relay/targetconnections.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/targetconnections.py
@@ -26,7 +26,7 @@
         opened = sum(self._metrics.counters.get(name, 0) for name in OPENED_COUNTERS)
         return {
             "target_connections": float(sum(connector.open for connector in self._connectors)),
-            "target_connections_resting": float(sum(each.idle for each in self._connectors)),
+            "target_connections_resting": float(sum(pool.idle for pool in self._connectors)),
             "target_connections_per_request": round(
                 opened / max(1, self._relay.accepted_calls), RATIO_DIGITS
             ),
--- a/packages/ochreway-direct/src/ochreway_direct/relay/targetprotocol.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/targetprotocol.py
@@ -109,7 +109,7 @@
         """Close connections that were idle too long; the library does so only every 15 s."""
         now_s = steadyclock.now_s()
         for key, idle in list(self._conns.items()):
-            for pair in [each for each in idle if not _usable_at(each[0], now_s)]:
+            for pair in [candidate for candidate in idle if not _usable_at(candidate[0], now_s)]:
                 idle.remove(pair)
                 if pair[0].transport is not None:
                     pair[0].transport.close()
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/coldtargets.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/coldtargets.py
@@ -48,7 +48,7 @@
 
     def cold_count(self, now_s: float) -> int:
         """Return how many targets are known to be cold."""
-        return sum(now_s < each.cold_until_s for each in self._cold_targets.values())
+        return sum(now_s < cold_target.cold_until_s for cold_target in self._cold_targets.values())
 
 
 __all__ = ["ColdTargets"]
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/fleetlimit.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/fleetlimit.py
@@ -80,9 +80,11 @@
     def allowances(self) -> Mapping[ServiceName, Allowance]:
         """Return the allowance of each service that has a cold start rate configured."""
         return {
-            each.name: Allowance.for_cold_start(each.cold_start, self._excess, self._slack)
-            for each in self._services()
-            if each.cold_start is not None
+            configured.name: Allowance.for_cold_start(
+                configured.cold_start, self._excess, self._slack
+            )
+            for configured in self._services()
+            if configured.cold_start is not None
         }
 
     def lendable(self) -> Mapping[ServiceName, int]:
@@ -138,9 +140,9 @@
         return static + self.loan_of(service, now_s)
 
     def _allowance(self, service: ServiceName) -> Allowance | None:
-        for each in self._services():
-            if each.name == service and each.cold_start is not None:
-                return Allowance.for_cold_start(each.cold_start, self._excess, self._slack)
+        for configured in self._services():
+            if configured.name == service and configured.cold_start is not None:
+                return Allowance.for_cold_start(configured.cold_start, self._excess, self._slack)
         return None
 
     def _count(self, instance: InstanceId, now_s: float) -> int:
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/lender.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/lender.py
@@ -92,23 +92,23 @@
     def _expire(self, service: ServiceName, now_s: float) -> None:
         remaining = {}
         for node, loans in self._outstanding[service].items():
-            unexpired = [each for each in loans if each.counts_until_s > now_s]
+            unexpired = [loan for loan in loans if loan.counts_until_s > now_s]
             if unexpired:
                 remaining[node] = unexpired
         self._outstanding[service] = remaining
 
 
 def _largest(loans: list[_OutstandingLoan]) -> int:
-    return max((each.share for each in loans), default=0)
+    return max((loan.share for loan in loans), default=0)
 
 
 def _portion(amount: int, weights: Mapping[NodeId, float], node: NodeId) -> int:
     """Return an entry's portion by weight; the leftover goes to the largest remainders."""
     if node not in weights:
         return 0
-    total_weight = sum(MIN_WEIGHT + each for each in weights.values())
-    exact = {n: amount * (MIN_WEIGHT + each) / total_weight for n, each in weights.items()}
-    leftover = amount - sum(math.floor(each) for each in exact.values())
+    total_weight = sum(MIN_WEIGHT + weight for weight in weights.values())
+    exact = {n: amount * (MIN_WEIGHT + weight) / total_weight for n, weight in weights.items()}
+    leftover = amount - sum(math.floor(portion) for portion in exact.values())
     order = sorted(exact, key=lambda n: (math.floor(exact[n]) - exact[n], n))
     return math.floor(exact[node]) + (node in order[:leftover])
 
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/sendwindow.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/sendwindow.py
@@ -23,7 +23,7 @@
     def count(self, now_s: float, window_s: float = WINDOW_S) -> int:
         """Return how many attempts count now."""
         self._attempts = [
-            each for each in self._attempts if _remaining_s(each, now_s, window_s) > 0.0
+            counted for counted in self._attempts if _remaining_s(counted, now_s, window_s) > 0.0
         ]
         return len(self._attempts)
 
@@ -32,7 +32,7 @@
         excess = self.count(now_s, window_s) - share
         if excess < 0:
             return 0.0
-        return sorted(_remaining_s(each, now_s, window_s) for each in self._attempts)[excess]
+        return sorted(_remaining_s(counted, now_s, window_s) for counted in self._attempts)[excess]
 
 
 def _remaining_s(attempt: Attempt, now_s: float, window_s: float) -> float:
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitpool.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitpool.py
@@ -114,9 +114,9 @@
         }
         self._leading_peers.intersection_update(self._last_received_s)
         self._members = {
-            n: each
-            for n, each in self._members.items()
-            if now_s - each.last_received_s < MEMBER_TIMEOUT_S
+            n: follower
+            for n, follower in self._members.items()
+            if now_s - follower.last_received_s < MEMBER_TIMEOUT_S
         }
         alive = [
             node for node in ranked_entries if node == self._me or node in self._last_received_s
@@ -196,13 +196,13 @@
         """Return shares by the members' request rates; None before all entries are known."""
         if not self._static_share.is_settled(now_s) and now_s - self._started_s < ALONE_DELAY_S:
             return None
-        demand = {node: each.requests_per_s for node, each in self._members.items()}
+        demand = {node: follower.requests_per_s for node, follower in self._members.items()}
         demand[self._me] = self._requests_per_s
         known_share = len(demand) / max(len(demand), self._static_share.entry_count)
         weights = _weights(demand)
         total_weight = sum(weights.values())
         return Allotment(
-            {node: known_share * each / total_weight for node, each in weights.items()}
+            {node: known_share * weight / total_weight for node, weight in weights.items()}
         )
 
     # Messages between entries
@@ -262,7 +262,8 @@
             if len(self._request_cache) >= MAX_CACHED_TARGETS:
                 self._request_cache.clear()
             counts = (
-                each.requests_of(self._me, quota.requests, instance) for each in self._allotments
+                allotment.requests_of(self._me, quota.requests, instance)
+                for allotment in self._allotments
             )
             own_requests = self._request_cache[key] = min(counts, default=0)
         return own_requests
@@ -271,15 +272,17 @@
         """Return this entry's share of each limit."""
         if not self.is_leader and now_s >= self._valid_until_s:
             return 0.0
-        return min((each.parts.get(self._me, 0.0) for each in self._allotments), default=0.0)
+        return min(
+            (allotment.parts.get(self._me, 0.0) for allotment in self._allotments), default=0.0
+        )
 
 
 def _weights(requests_per_s: Mapping[NodeId, float]) -> dict[NodeId, float]:
     """Return each entry's weight by its request rate relative to the average."""
     average = sum(requests_per_s.values()) / len(requests_per_s) or 1.0
     return {
-        node: max(MIN_WEIGHT, WEIGHT_STEP * round(each / average / WEIGHT_STEP))
-        for node, each in requests_per_s.items()
+        node: max(MIN_WEIGHT, WEIGHT_STEP * round(rate / average / WEIGHT_STEP))
+        for node, rate in requests_per_s.items()
     }
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitspread.py
+++ b/packages/ochreway-direct/src/ochreway_direct/targetlimits/limitspread.py
@@ -49,7 +49,7 @@
 
         The message was under way for ``delay_s``.
         """
-        return [each for each in news if self._record(each, now_s - delay_s, now_s)]
+        return [limit for limit in news if self._record(limit, now_s - delay_s, now_s)]
 
     def _record(self, news: LimitNews, sent_s: float, now_s: float) -> bool:
         notice = LimitNotice(news.limit_per_s, sent_s - news.age_s, news.born_ms)
--- a/tests/direct/limitworld.py
+++ b/tests/direct/limitworld.py
@@ -40,10 +40,10 @@
     def __init__(self, world: "LimitWorld", name: NodeId, seeds: int) -> None:
         self._world = world
         self.name = name
-        self.began_s = world.now_s
-        self.standing = StaticShare(name, seeds, self.began_s)
+        self.started_s = world.now_s
+        self.static_share = StaticShare(name, seeds, self.started_s)
         self.limits = TargetLimits()
-        self.pool = LimitPool(name, self.standing, self.began_s)
+        self.pool = LimitPool(name, self.static_share, self.started_s)
         self.gate = LimitGate(self.limits, self.pool)
         self.requests = 0
         self.sharing = LimitSharing(self.limits, self.pool, lambda: self.requests, RecordedLog())
@@ -51,7 +51,7 @@
         self.names: set[NodeId] = set()
         self.paused_until_s = 0.0
         self.requests_per_s = 10.0
-        self.next_heartbeat_s = world.random.uniform(0.0, HEARTBEAT_INTERVAL_S) + self.began_s
+        self.next_heartbeat_s = world.random.uniform(0.0, HEARTBEAT_INTERVAL_S) + self.started_s
 
     def alive_peers(self) -> list[NodeId]:
         now_s = self._world.now_s
@@ -60,7 +60,7 @@
     def send_heartbeats(self) -> None:
         now_s = self._world.now_s
         alive = self.alive_peers()
-        self.standing.update_entries(self.names, bool(alive), now_s)
+        self.static_share.update_entries(self.names, bool(alive), now_s)
         self.sharing.tick(sorted([*self.last_received, self.name]), True, now_s)
         for peer in self._world.names():
             if peer != self.name:
@@ -75,7 +75,7 @@
         self.names.update(each for each in heartbeat.names if each != self.name)
         echo_s = (
             heartbeat.echo_s
-            if heartbeat.echo_s is not None and heartbeat.echo_s >= self.began_s
+            if heartbeat.echo_s is not None and heartbeat.echo_s >= self.started_s
             else None
         )
         self.sharing.on_news(heartbeat.sender, heartbeat.news, echo_s, 0.0, now_s)
--- a/tests/direct/plaindialect.py
+++ b/tests/direct/plaindialect.py
@@ -44,8 +44,8 @@
         )
 
     def answer(self, headers: Mapping[str, str]) -> CIMultiDict[str]:
-        kept = ("Request", "Signed", "Content-Type")
-        return CIMultiDict((name, headers[name]) for name in kept if name in headers)
+        forwarded = ("Request", "Signed", "Content-Type")
+        return CIMultiDict((name, headers[name]) for name in forwarded if name in headers)
 
     def refusal(self, request: str, retry_after_s: float | None) -> CIMultiDict[str]:
         return CIMultiDict({"Retry-After": str(retry_after_s)} if retry_after_s else {})
--- a/tests/direct/test_backoff.py
+++ b/tests/direct/test_backoff.py
@@ -163,5 +163,5 @@
         )
 
     def test_the_next_incarnation_is_queried_at_once(self) -> None:
-        asked, _, _ = self.run_two_rounds(NEXT_INCARNATION_MS)
-        self.assertEqual(2, asked)
+        reached, _, _ = self.run_two_rounds(NEXT_INCARNATION_MS)
+        self.assertEqual(2, reached)
--- a/tests/direct/test_connections.py
+++ b/tests/direct/test_connections.py
@@ -47,7 +47,7 @@
 
 
 class IdleLimitsTests(testtools.TestCase):
-    def test_both_bounds_hold(self) -> None:
+    def test_both_limits_hold(self) -> None:
         bounds = IdleLimits(max_total=3, max_per_target=2)
         self.assertTrue(bounds.allow(2, 1))
         self.assertFalse(bounds.allow(3, 1))
--- a/tests/direct/test_eventsplitter.py
+++ b/tests/direct/test_eventsplitter.py
@@ -21,9 +21,9 @@
         passed = b""
         begin = 0
         for end in [*sorted(cuts), len(EVENTS)]:
-            whole = splitter.feed(EVENTS[begin:end])
-            self.assertTrue(whole == b"" or whole.endswith(b"\n\n"))
-            passed += whole
+            events = splitter.feed(EVENTS[begin:end])
+            self.assertTrue(events == b"" or events.endswith(b"\n\n"))
+            passed += events
             begin = max(begin, end)
         self.assertEqual(EVENTS, passed)
         self.assertEqual("8", splitter.last_id)
--- a/tests/direct/test_limitpool.py
+++ b/tests/direct/test_limitpool.py
@@ -50,10 +50,10 @@
         st.floats(0.1, 1.0),
     )
     def test_whole_requests_add_up_to_the_share_and_no_more(
-        self, asked: dict[int, float], requests: int, share: float
+        self, demand: dict[int, float], requests: int, share: float
     ) -> None:
-        whole = sum(asked.values()) or 1.0
-        parts = {NodeId(f"e{n}"): share * each / whole for n, each in asked.items()}
+        total_demand = sum(demand.values()) or 1.0
+        parts = {NodeId(f"e{n}"): share * amount / total_demand for n, amount in demand.items()}
         allotment = Allotment(parts)
         given_out = sum(allotment.requests_of(n, requests, InstanceId("i")) for n in parts)
         self.assertLessEqual(given_out, requests * sum(parts.values()) + 0.01)
@@ -200,10 +200,10 @@
         quota = Quota.for_limit(10.0)
         given_out = 0
         for me in names:
-            standing = StaticShare(me, 3, 0.0)
+            static_share = StaticShare(me, 3, 0.0)
             for now_s in (1.0, 12.0):
-                standing.update_entries((each for each in names if each != me), True, now_s)
-            pool = LimitPool(me, standing, 0.0)
+                static_share.update_entries((each for each in names if each != me), True, now_s)
+            pool = LimitPool(me, static_share, 0.0)
             pool.tick((me,), False, 1.0, 12.0)
             given_out += pool.requests_of(quota, InstanceId("i"), 12.0)
         self.assertLessEqual(given_out, quota.requests)
--- a/tests/direct/test_placewait.py
+++ b/tests/direct/test_placewait.py
@@ -10,7 +10,7 @@
 REQUESTS = 60
 
 
-class PlaceWaitTests(RelayCase):
+class CandidateWaitTests(RelayCase):
     kind = RouteKind.SAFE
 
     def test_a_target_that_frees_during_the_last_check_is_not_reported_as_full(self) -> None:
--- a/tests/direct/test_sendlimitproperty.py
+++ b/tests/direct/test_sendlimitproperty.py
@@ -188,7 +188,7 @@
         self.assertLessEqual(Scenario().run(steps), ALLOWANCE)
         self.assertGreater(Scenario(without).run(steps), ALLOWANCE)
 
-    def test_a_limit(self) -> None:
+    def test_a_limit_is_enforced(self) -> None:
         self.assert_needed([step("burst")], Guards(limited=False))
 
     def test_a_new_holder_waits_for_the_loans_of_the_former_one(self) -> None:
--- a/tests/direct/test_sendlimits.py
+++ b/tests/direct/test_sendlimits.py
@@ -53,9 +53,9 @@
         for number in (1, 2, 5, 13, 24, 34, 36, 60, 300):
             shares = settled_shares(nodes(number))
             for target in range(5):
-                found = total(shares, STATIC_AMOUNT, SETTLE_S, f"i{target}")
-                self.assertLessEqual(found, STATIC_AMOUNT)
-                self.assertGreater(found, 0)
+                share_sum = total(shares, STATIC_AMOUNT, SETTLE_S, f"i{target}")
+                self.assertLessEqual(share_sum, STATIC_AMOUNT)
+                self.assertGreater(share_sum, 0)
 
     def test_as_many_entries_as_headroom_may_be_unknown(self) -> None:
         for number in (2, 5, 13, 33, 34, 35, 36, 60, 300):
@@ -85,8 +85,10 @@
         shares = settled_shares(names)
         targets = [InstanceId(f"i{n}") for n in range(40)]
         for share in shares.values():
-            found = sum(share.requests_for(STATIC_AMOUNT, target, SETTLE_S) for target in targets)
-            self.assertGreater(found, len(targets) // 4)
+            requests = sum(
+                share.requests_for(STATIC_AMOUNT, target, SETTLE_S) for target in targets
+            )
+            self.assertGreater(requests, len(targets) // 4)
 
     def test_an_entry_that_joins_takes_one_until_it_knows_the_others(self) -> None:
         share = StaticShare(NodeId("new"), 3, 0.0)
@@ -145,9 +147,9 @@
 
     def test_everything_is_lent_in_proportion_to_request_rates(self) -> None:
         self.weights[NodeId("e0")] = 3.0
-        found = [self.lend(node, 0.0) for node in range(4)]
-        self.assertEqual(16, sum(found))
-        self.assertGreater(found[0], 10)
+        lent_shares = [self.lend(node, 0.0) for node in range(4)]
+        self.assertEqual(16, sum(lent_shares))
+        self.assertGreater(lent_shares[0], 10)
 
     def test_a_share_grows_only_when_others_have_lapsed(self) -> None:
         for node in range(4):
@@ -311,9 +313,9 @@
             for _ in range(40):
                 world.entries[busy].meter.note("m", 0.5, world.now_s)  # type: ignore[arg-type]
                 world.run(0.2)
-            found = self.lent(world)
-            self.assertLessEqual(sum(found.values()), 16)
-            self.assertGreater(found[busy], 6)
+            loans_now = self.lent(world)
+            self.assertLessEqual(sum(loans_now.values()), 16)
+            self.assertGreater(loans_now[busy], 6)
 
         self.run_world(ENTRIES, work)
 
