--- a/packages/ochreway-direct/src/ochreway_direct/bounds/resourcewatch.py
+++ b/packages/ochreway-direct/src/ochreway_direct/bounds/resourcewatch.py
@@ -75,9 +75,9 @@
         self._log.event("means", resource=resource.value, near=near, share=share)
         if near:
             self._metrics.count(f"means.{resource.value}")
-            self._serving.short_of.add(resource)
+            self._serving.short_resources.add(resource)
         else:
-            self._serving.short_of.discard(resource)
+            self._serving.short_resources.discard(resource)
 
     def _memory_share(self) -> float:
         bound = self._resource_bounds.memory_bytes
--- a/packages/ochreway-direct/src/ochreway_direct/coordination.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordination.py
@@ -30,13 +30,13 @@
 from ochreway_runtime.repeats import Repeats
 
 Spawn = Callable[[Coroutine[None, None, None]], object]
-SUMMARY_EVERY_S = 1.0
-STALL_SHARE = 0.3
+SUMMARY_INTERVAL_S = 1.0
+MAX_STALL_SHARE = 0.3
 """The share of a probe's time that this process may stand still for its silence to count.
 
 Answers take a few ms, so what is left of the time is enough for one.
 """
-LOST_TOLD_S = 3.0
+LOST_GROUP_RETENTION_S = 3.0
 """For how long a lost group is named in updates."""
 
 
@@ -49,28 +49,28 @@
         timing: DirectTiming,
         tuning: CoordinatorTuning,
         spawn: Spawn,
-        changed: Callable[[], None],
-        fenced: Callable[[], None],
+        on_changed: Callable[[], None],
+        on_fenced: Callable[[], None],
         lag: LoopLag,
-        heard: Callable[[GroupId], bool],
+        is_answering: Callable[[GroupId], bool],
         notices: NoticeWatch,
         log: EventLog,
         metrics: Metrics,
     ) -> None:
-        self.coordinator = Coordinator(tuning, heard)
+        self.coordinator = Coordinator(tuning, is_answering)
         self._engines = engines
         self._timing = timing
         self._spawn = spawn
-        self._changed = changed
-        self._fenced = fenced
+        self._on_changed = on_changed
+        self._on_fenced = on_fenced
         self._lag = lag
         self._notices = notices
-        self._check = TargetCheck()
+        self._target_check = TargetCheck()
         self._log = log
         self._metrics = metrics
         self._unreadable = Repeats(log, "report_unreadable")
         self._phases: dict[GroupId, GroupPhase] = {}
-        self._lost_s: dict[GroupId, float] = {}
+        self._lost_since_s: dict[GroupId, float] = {}
         self._summary_due_s = 0.0
         self._plan_log = PlanLog(log)
 
@@ -86,27 +86,29 @@
         self.coordinator.begin(epoch, now_s, last_models)
         self.coordinator.on_listing(targets, now_s, regained_s)
         self._phases.clear()
-        self._plan_log.forget()
+        self._plan_log.reset()
 
-    def listed(self, targets: Iterable[ListedTarget], now_s: float, regained_s: float) -> None:
+    def update_targets(
+        self, targets: Iterable[ListedTarget], now_s: float, regained_s: float
+    ) -> None:
         """Take the platform's list; the store's last outage ended at ``regained_s``."""
         self.coordinator.on_listing(targets, now_s, regained_s)
 
-    def step(self, now_s: float) -> bool:
+    def run_tick(self, now_s: float) -> bool:
         """Give the orders that are due; return whether a group's phase changed."""
         for assignment in self.coordinator.tick(now_s):
             self._metrics.count(f"order.{type(assignment.order).__name__.lower()}")
-            self._spawn(self._order(assignment))
+            self._spawn(self._send_order(assignment))
         for probe in self.coordinator.due_probes(now_s):
             self._metrics.count(f"probe.{probe.cause.value}")
             self._spawn(self._probe(probe.record, probe.cause in URGENT))
         if now_s >= self._summary_due_s:
-            self._summary_due_s = now_s + SUMMARY_EVERY_S
-            self._note_domains()
-        self._note_plans(now_s)
-        return self._note_phases(now_s)
+            self._summary_due_s = now_s + SUMMARY_INTERVAL_S
+            self._log_domains()
+        self._log_plans(now_s)
+        return self._log_phases(now_s)
 
-    def _note_domains(self) -> None:
+    def _log_domains(self) -> None:
         for each in self.coordinator.summaries():
             able = ",".join(f"{model}:{number}" for model, number in sorted(each.able.items()))
             self._log.detail(
@@ -120,17 +122,21 @@
                 leaving=each.leaving,
             )
 
-    def _note_plans(self, now_s: float) -> None:
+    def _log_plans(self, now_s: float) -> None:
         for service, plan in self.coordinator.plans.items():
             if self._plan_log.due(service, now_s):
-                self._plan_log.step(service, plan, self.coordinator.loading(service), now_s)
+                self._plan_log.log_plan(service, plan, self.coordinator.loading(service), now_s)
 
-    def lost(self, now_s: float) -> tuple[GroupId, ...]:
+    def lost_groups(self, now_s: float) -> tuple[GroupId, ...]:
         """Return the groups whose requests have to be abandoned."""
-        self._lost_s = {g: at_s for g, at_s in self._lost_s.items() if now_s - at_s < LOST_TOLD_S}
-        return tuple(self._lost_s)
+        self._lost_since_s = {
+            g: at_s
+            for g, at_s in self._lost_since_s.items()
+            if now_s - at_s < LOST_GROUP_RETENTION_S
+        }
+        return tuple(self._lost_since_s)
 
-    def _note_phases(self, now_s: float) -> bool:
+    def _log_phases(self, now_s: float) -> bool:
         phases = {name: group.phase for name, group in self.coordinator.groups.items()}
         if phases == self._phases:
             return False
@@ -153,14 +159,14 @@
             # Nothing runs any more at one that ended by itself: to name it lost would only have
             # entries abandon what they had sent there last and send it again.
             if phase is GroupPhase.DISSOLVING and group.cause is not PhaseCause.ENDED:
-                self._lost_s[name] = now_s
+                self._lost_since_s[name] = now_s
         self._phases = phases
         return True
 
-    async def _order(self, assignment: Assignment) -> None:
+    async def _send_order(self, assignment: Assignment) -> None:
         outcome = OrderOutcome.UNKNOWN
         try:
-            outcome = await self._give(assignment)
+            outcome = await self._try_order(assignment)
         finally:
             self.coordinator.on_outcome(
                 assignment.instance,
@@ -168,16 +174,16 @@
                 outcome,
                 asyncio.get_running_loop().time(),
             )
-            self._changed()
+            self._on_changed()
         if outcome is OrderOutcome.FENCED:
             self._log.event("order_fenced", instance=assignment.instance, order=assignment.order)
-            self._fenced()
+            self._on_fenced()
         self._metrics.count(f"order_outcome.{outcome.value}")
         self._log.detail(
             "order", instance=assignment.instance, order=assignment.order, outcome=outcome.value
         )
 
-    async def _give(self, assignment: Assignment) -> OrderOutcome:
+    async def _try_order(self, assignment: Assignment) -> OrderOutcome:
         """Give an order, unless its engine asked to be left alone; it is then given later."""
         born_ms = self._born_ms(assignment.instance)
         if self._notices.backed_off(assignment.instance, born_ms):
@@ -191,7 +197,7 @@
                 self._timing.order_timeout_s,
             )
         except TargetTurnedAway as away:
-            self._notices.heard(assignment.instance, away.notice, born_ms)
+            self._notices.on_notice(assignment.instance, away.notice, born_ms)
             return OrderOutcome.TURNED_AWAY
 
     def _born_ms(self, instance: InstanceId) -> int | None:
@@ -199,24 +205,24 @@
         record = self.coordinator.engines.get(instance)
         return record.listed.born_ms if record is not None else None
 
-    async def _probe_unasked(self, record: EngineRecord) -> None:
+    async def _check_process(self, record: EngineRecord) -> None:
         """Find out whether the process of an engine stands, without a question to it.
 
         So the loss of a leader that asked to be left alone, or named a limit, is seen as soon as
         any other's, and its group repaired.
         """
         self._metrics.count("probe.unasked")
-        ended = await self._check.ended(record.listed.address)
+        ended = await self._target_check.ended(record.listed.address)
         if ended:
-            self._lost(record, "connection refused", refused=True)
+            self._on_probe_failed(record, "connection refused", refused=True)
         else:
             self.coordinator.on_backed_off(record.instance)
 
-    def _lost(self, record: EngineRecord, cause: object, refused: bool) -> None:
-        known_dead = record.dead
+    def _on_probe_failed(self, record: EngineRecord, cause: object, refused: bool) -> None:
+        was_dead = record.dead
         now_s = asyncio.get_running_loop().time()
         self.coordinator.on_silence(record.instance, refused, now_s)
-        if record.dead and not known_dead:
+        if record.dead and not was_dead:
             self._log.event(
                 "engine_lost", instance=record.instance, misses=record.misses, cause=cause
             )
@@ -227,16 +233,16 @@
 
     async def _probe(self, record: EngineRecord, urgent: bool = False) -> None:
         instance = record.instance
-        if not self._notices.may_ask(instance, record.listed.born_ms, urgent):
-            await self._probe_unasked(record)
+        if not self._notices.may_query(instance, record.listed.born_ms, urgent):
+            await self._check_process(record)
             return
         timeout_s = self._timing.probe_timeout_s
         loop = asyncio.get_running_loop()
-        asked_s = loop.time()
+        probed_s = loop.time()
         try:
             state = await self._engines.state(record.listed.address, instance, timeout_s)
         except TargetTurnedAway as away:
-            self._notices.heard(instance, away.notice, record.listed.born_ms)
+            self._notices.on_notice(instance, away.notice, record.listed.born_ms)
             self.coordinator.on_backed_off(instance)
             return
         except PlatformError as fault:
@@ -244,22 +250,24 @@
                 self._metrics.count("probe.unreadable")
                 self._unreadable.met(f"{instance}: {fault}", loop.time())
             refused = isinstance(fault, TargetUnreachable)
-            stalled_s = self._lag.since(asked_s, loop.time())
-            if not refused and stalled_s > STALL_SHARE * timeout_s:
+            stalled_s = self._lag.since(probed_s, loop.time())
+            if not refused and stalled_s > MAX_STALL_SHARE * timeout_s:
                 # The answer may have come while this process itself stood still.
                 self._metrics.count("probe.own_stall")
                 self.coordinator.on_unsettled(instance)
                 return
-            self._lost(record, fault, refused)
+            self._on_probe_failed(record, fault, refused)
             return
         if state.limit_per_s is not None:
-            self._notices.named(instance, state.limit_per_s, state.born_ms)
+            self._notices.on_reported_limit(instance, state.limit_per_s, state.born_ms)
         if state.leaving:
-            self._notices.heard(instance, TargetNotice(leaving=True), state.born_ms)
-        changed = state.membership != record.membership or state.leaving != record.state.leaving
-        self.coordinator.on_state(instance, state, asked_s)
-        if changed:
-            self._changed()
+            self._notices.on_notice(instance, TargetNotice(leaving=True), state.born_ms)
+        state_changed = (
+            state.membership != record.membership or state.leaving != record.state.leaving
+        )
+        self.coordinator.on_state(instance, state, probed_s)
+        if state_changed:
+            self._on_changed()
 
 
 __all__ = ["Coordination"]
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/coordinator.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/coordinator.py
@@ -165,7 +165,7 @@
         record = self.engines.get(instance)
         if record is None:
             assert listed.engine is not None
-            last_model = self._last_models.of(instance)
+            last_model = self._last_models.model_of(instance)
             self.engines[instance] = EngineRecord(
                 *(listed, listed.engine),
                 last_model=last_model,
--- a/packages/ochreway-direct/src/ochreway_direct/demandmeter.py
+++ b/packages/ochreway-direct/src/ochreway_direct/demandmeter.py
@@ -6,9 +6,9 @@
 
 from ochreway_direct.ids import ModelName
 
-MEMORY_S = 5.0
+DECAY_S = 5.0
 """How fast a request is forgotten: half a wave of the load, and some hundred requests, long."""
-LEAST_MEASURED_S = 0.5
+MIN_MEASURED_S = 0.5
 """The shortest time that a rate is taken over: a first request alone tells nothing of a rate."""
 
 
@@ -22,27 +22,27 @@
 
     def __init__(self) -> None:
         self._sums: dict[ModelName, float] = {}
-        self._noted_s: dict[ModelName, float] = {}
-        self._began_s: float | None = None
+        self._last_recorded_s: dict[ModelName, float] = {}
+        self._first_recorded_s: float | None = None
 
-    def note(self, model: ModelName, work_s: float, now_s: float) -> None:
+    def record_work(self, model: ModelName, work_s: float, now_s: float) -> None:
         """Take the work of one arriving request."""
-        if self._began_s is None:
-            self._began_s = now_s
-        self._sums[model] = self._sum(model, now_s) + work_s
-        self._noted_s[model] = now_s
+        if self._first_recorded_s is None:
+            self._first_recorded_s = now_s
+        self._sums[model] = self._decayed_sum(model, now_s) + work_s
+        self._last_recorded_s[model] = now_s
 
     def offered(self, now_s: float) -> Mapping[ModelName, float]:
         """Return the work that arrives for each model now."""
-        if self._began_s is None:
+        if self._first_recorded_s is None:
             return {}
-        measured_s = max(LEAST_MEASURED_S, now_s - self._began_s)
-        remembered_s = MEMORY_S * (1.0 - math.exp(-measured_s / MEMORY_S))
-        return {model: self._sum(model, now_s) / remembered_s for model in self._sums}
+        measured_s = max(MIN_MEASURED_S, now_s - self._first_recorded_s)
+        effective_s = DECAY_S * (1.0 - math.exp(-measured_s / DECAY_S))
+        return {model: self._decayed_sum(model, now_s) / effective_s for model in self._sums}
 
-    def _sum(self, model: ModelName, now_s: float) -> float:
-        elapsed_s = now_s - self._noted_s.get(model, now_s)
-        return self._sums.get(model, 0.0) * math.exp(-elapsed_s / MEMORY_S)
+    def _decayed_sum(self, model: ModelName, now_s: float) -> float:
+        elapsed_s = now_s - self._last_recorded_s.get(model, now_s)
+        return self._sums.get(model, 0.0) * math.exp(-elapsed_s / DECAY_S)
 
 
-__all__ = ["LEAST_MEASURED_S", "MEMORY_S", "DemandMeter"]
+__all__ = ["MIN_MEASURED_S", "DECAY_S", "DemandMeter"]
--- a/packages/ochreway-direct/src/ochreway_direct/dependencies.py
+++ b/packages/ochreway-direct/src/ochreway_direct/dependencies.py
@@ -19,10 +19,10 @@
         self._peers = peers
         self._head = head
         self._log = log
-        self._trusted: bool | None = None
+        self._keys_trusted: bool | None = None
         self._holder: NodeId | None = None
         self._was_head: bool | None = None
-        self._heard: frozenset[NodeId] = frozenset()
+        self._live_entries: frozenset[NodeId] = frozenset()
 
     def check(self, now_s: float) -> None:
         """Compare what is so now with what was told last."""
@@ -35,8 +35,8 @@
 
     def _check_keys(self, now_s: float) -> None:
         trusted = self._serving.freshness.keys_trusted(now_s)
-        if trusted is not self._trusted:
-            self._trusted = trusted
+        if trusted is not self._keys_trusted:
+            self._keys_trusted = trusted
             age_s = round(self._serving.freshness.age_s(now_s), 3)
             version = self._serving.version
             self._log.event("keys_trusted", trusted=trusted, proof_age_s=age_s, version=version)
@@ -50,13 +50,15 @@
 
     def _check_entries(self, now_s: float) -> None:
         """Tell of entries that fell silent or are heard again, not of those never in touch."""
-        heard = frozenset(record.peer.node for record in self._peers.alive(now_s))
-        silent = self._heard & self._peers.expected_nodes() - heard
+        live_now = frozenset(record.peer.node for record in self._peers.alive(now_s))
+        silent = self._live_entries & self._peers.expected_nodes() - live_now
         if silent:
             self._log.event("entries_silent", entries=",".join(sorted(silent)))
-        if heard - self._heard:
-            self._log.event("entries_heard", entries=",".join(sorted(heard - self._heard)))
-        self._heard = heard
+        if live_now - self._live_entries:
+            self._log.event(
+                "entries_heard", entries=",".join(sorted(live_now - self._live_entries))
+            )
+        self._live_entries = live_now
 
 
 __all__ = ["Dependencies"]
--- a/packages/ochreway-direct/src/ochreway_direct/earlylistener.py
+++ b/packages/ochreway-direct/src/ochreway_direct/earlylistener.py
@@ -9,14 +9,14 @@
 
 from ochreway_runtime import steadyclock
 
-VARIABLE = "OCHREWAY_CALLER_LISTEN"
+ADDRESS_VARIABLE = "OCHREWAY_CALLER_LISTEN"
 BACKLOG = 1024
 """How many connections may wait to be accepted: more than come in a second to one entry."""
 
-BEGAN_S = steadyclock.now_s()
+PROCESS_START_S = steadyclock.now_s()
 """When this process began to load its code, on the clock of its event loop."""
 
-_open: dict[str, socket.socket] = {}
+_open_sockets: dict[str, socket.socket] = {}
 
 
 def listen_early() -> None:
@@ -26,31 +26,31 @@
     them away after all entries were killed at once. An address that cannot be bound is left to
     the usual listener, which logs the cause.
     """
-    address = os.environ.get(VARIABLE, "")
+    address = os.environ.get(ADDRESS_VARIABLE, "")
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal():
         return
-    made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        made.bind((host, int(port)))
-        made.listen(BACKLOG)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind((host, int(port)))
+        listener.listen(BACKLOG)
     except (OSError, OverflowError):
-        made.close()
+        listener.close()
         return
-    made.setblocking(False)
-    _open[address] = made
+    listener.setblocking(False)
+    _open_sockets[address] = listener
 
 
-def take(address: str) -> socket.socket | None:
+def claim_socket(address: str) -> socket.socket | None:
     """Return the socket that listens at an address, if there is one; it is the caller's then."""
-    return _open.pop(address, None)
+    return _open_sockets.pop(address, None)
 
 
-def close_others(address: str) -> None:
+def close_other_sockets(address: str) -> None:
     """Close what listens at any other address than the one that is to be served."""
-    for each in [known for known in _open if known != address]:
-        _open.pop(each).close()
+    for each in [known for known in _open_sockets if known != address]:
+        _open_sockets.pop(each).close()
 
 
-__all__ = ["BACKLOG", "BEGAN_S", "close_others", "listen_early", "take"]
+__all__ = ["BACKLOG", "PROCESS_START_S", "close_other_sockets", "listen_early", "claim_socket"]
--- a/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
@@ -28,7 +28,7 @@
 from ochreway_direct.serving import Serving
 from ochreway_direct.targetlimits.limitsharing import LimitSharing
 from ochreway_direct.targetlimits.poolnews import NO_POOL_NEWS
-from ochreway_direct.work import NO_WORK, Work, total, without
+from ochreway_direct.work import NO_WORK, Work, subtract_work, sum_work
 from ochreway_wire.links import Links
 
 NEW_ENTRY_S = 3.0
@@ -239,10 +239,10 @@
     def _work_for(self, node: NodeId, coverage: Coverage, own: Work) -> Work:
         match coverage:
             case Coverage.REST:
-                all_work = total((own, self.remote_work.total_work()))
-                return without(all_work, self.remote_work.work_of(node))
+                all_work = sum_work((own, self.remote_work.total_work()))
+                return subtract_work(all_work, self.remote_work.work_of(node))
             case Coverage.CELL:
-                return total((own, *self.remote_work.member_work()))
+                return sum_work((own, *self.remote_work.member_work()))
             case Coverage.OWN:
                 # Entries of other cells learn of this one's work from the heads of its cell.
                 return own if self._in_own_cell(node) else NO_WORK
--- a/packages/ochreway-direct/src/ochreway_direct/entries/remotework.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/remotework.py
@@ -9,7 +9,7 @@
 from ochreway_direct.entries.coverage import Coverage
 from ochreway_direct.fleets.fleet import Fleet
 from ochreway_direct.ids import CellId, ModelName
-from ochreway_direct.work import NO_WORK, Work, total
+from ochreway_direct.work import NO_WORK, Work, sum_work
 
 SOURCE_TIMEOUT_S = 0.75
 """Silence after which the report of a cell's other head is accepted: two heartbeats and delay."""
@@ -113,7 +113,7 @@
 
     def total_work(self) -> Work:
         """Return the total work of all other entries."""
-        return total(report.work for report in self._reports.values())
+        return sum_work(report.work for report in self._reports.values())
 
     def offered(self) -> Counter[ModelName]:
         """Return the work offered to other entries, for each model."""
--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -22,7 +22,7 @@
 from ochreway_direct.dependencies import Dependencies
 from ochreway_direct.drains.drainkeeper import DrainKeeper
 from ochreway_direct.drains.halldrains import HallDrains
-from ochreway_direct.earlylistener import BEGAN_S
+from ochreway_direct.earlylistener import PROCESS_START_S
 from ochreway_direct.entries.heartbeats import Heartbeats
 from ochreway_direct.entries.knownentry import KnownEntry
 from ochreway_direct.entries.peers import Peers
@@ -75,16 +75,16 @@
 from ochreway_wire.batch import Batch
 from ochreway_wire.links import Links, LinkSettings
 
-COUNTERS_LOGGED_S = 5.0
+COUNTERS_LOG_INTERVAL_S = 5.0
 """How often all counters are written to a log in detail."""
-STEP_REST_SHARE = 4.0
+TICK_REST_FACTOR = 4.0
 """How long after a step, as a multiple of what it took, the next one may begin.
 
 So steps take a fifth of the processor at the most, and requests have the rest.
 """
-SUSPECT_AFTER_S = 0.3
+SUSPECT_SILENCE_S = 0.3
 """For how long all answers of a group stand still before its members are asked at once."""
-SUSPECT_AGAIN_S = 0.15
+SUSPECT_INTERVAL_S = 0.15
 
 
 class DirectEntry:
@@ -109,12 +109,12 @@
         self._random = random.Random()
         self.me = Peer(NodeId(settings.name), settings.link_listen)
         self._cold = ColdTargets(log)
-        self._standing = StandingShare(self.me.node, len(settings.peer), self._loop.time())
+        self._static_share = StandingShare(self.me.node, len(settings.peer), self._loop.time())
         self._limit = self._fleet_limit()
         backoffs = Backoffs()
         limits = TargetLimits()
         self.notices = NoticeWatch(backoffs, limits, log, metrics)
-        pool = LimitPool(self.me.node, self._standing, self._loop.time())
+        pool = LimitPool(self.me.node, self._static_share, self._loop.time())
         fleet = Fleet(
             HallId(settings.hall),
             self._random,
@@ -129,8 +129,8 @@
         self.health = PlatformHealth()
         self.meter = DemandMeter()
         self.retry_budget = RetryBudget(settings.retries_per_request)
-        known = KnownEntry(self.me, HallId(settings.hall), settings.strength)
-        self.peers = Peers(known, timing.peer_silent_s)
+        known_entry = KnownEntry(self.me, HallId(settings.hall), settings.strength)
+        self.peers = Peers(known_entry, timing.peer_silent_s)
         self.resources = ResourceWatch(
             *(bounds_of(settings), self.serving, self.peers, log, metrics, idle_limits)
         )
@@ -141,7 +141,7 @@
             self.me,
             LinkSettings(settings.link_key.encode(), compressed=True),
             lambda: self.serving.version,
-            self._received,
+            self._on_batch,
             self._on_link_down,
             self._on_link_up,
         )
@@ -157,7 +157,7 @@
             timing,
             _tuning(settings),
             self.spawn,
-            self._step_soon,
+            self._schedule_coordinator_tick,
             self.lease.doubt,
             self.lag,
             lambda group: fleet.load(group) > 0,
@@ -170,15 +170,15 @@
             HallDrains(settings.hall_drain_s),
             fleet,
             self.coordination.coordinator.drain,
-            self._halls_changed,
+            self._on_halls_changed,
             log,
             metrics,
         )
-        self._loans = Loans(self.me.node, self._limit, self.lease, self._asked)
-        self._target_limits = LimitSharing(limits, pool, lambda: self.serving.asked, log)
+        self._loans = Loans(self.me.node, self._limit, self.lease, self._offered_by_entry)
+        self._target_limits = LimitSharing(limits, pool, lambda: self.serving.admitted, log)
         self._heartbeats = Heartbeats(
             incarnation,
-            known,
+            known_entry,
             settings.peer,
             self.peers,
             self.links,
@@ -191,11 +191,11 @@
             loans=self._loans,
             limits=self._target_limits,
         )
-        book = CrashBook()
-        self.crashes = CrashWatch(book, log, metrics, settings.has(Mechanism.FATAL_REFUSED))
-        self._crash_spread = CrashSpread(book, self.crashes, self._heartbeats, self.links)
+        crash_book = CrashBook()
+        self.crashes = CrashWatch(crash_book, log, metrics, settings.has(Mechanism.FATAL_REFUSED))
+        self._crash_spread = CrashSpread(crash_book, self.crashes, self._heartbeats, self.links)
         self._crash_keeper = CrashKeeper(
-            *(self.me.node, book, self.crashes, services.table, lambda: self.lease.held),
+            *(self.me.node, crash_book, self.crashes, services.table, lambda: self.lease.held),
             *(self._backoff(timing), log, metrics),
         )
         self._sharing = FleetSharing(
@@ -234,7 +234,7 @@
             log,
             metrics,
         )
-        self._list = ListFollower(
+        self._list_follower = ListFollower(
             services.targets,
             self.health,
             timing,
@@ -256,11 +256,11 @@
             CrashNews: self._crash_spread.on_news,
         }
         self._tasks: set[asyncio.Task[None]] = set()
-        self._start = StartSteps(self._start_checks(), self._loop.time(), log)
-        self._ticked_s = 0.0
-        self._step_planned = False
-        self._step_due_s = 0.0
-        self._suspects_s: dict[GroupId, float] = {}
+        self._start_steps = StartSteps(self._start_checks(), self._loop.time(), log)
+        self._last_tick_s = 0.0
+        self._tick_planned = False
+        self._tick_due_s = 0.0
+        self._suspected_until_s: dict[GroupId, float] = {}
 
     def _backoff(self, timing: DirectTiming) -> Backoff:
         return Backoff(timing.backoff_base_s, timing.backoff_max_s, self._random)
@@ -270,12 +270,12 @@
             lambda: self.serving.services,
             self.settings.cold_excess,
             self.settings.cold_slack,
-            self._standing,
+            self._static_share,
             self._cold,
-            *(BEGAN_S, self.log, self.metrics),
+            *(PROCESS_START_S, self.log, self.metrics),
         )
 
-    def _asked(self, now_s: float) -> dict[NodeId, float]:
+    def _offered_by_entry(self, now_s: float) -> dict[NodeId, float]:
         """Return what each entry in touch is asked for, in groups kept busy."""
         own = sum(self.meter.offered(now_s).values())
         return {**self._heartbeats.remote_work.offered_by_source(), self.me.node: own}
@@ -298,16 +298,16 @@
         self.timer.every(timing.heartbeat_s, self._heartbeats.send)
         self.timer.every(timing.heartbeat_s, self._dependencies.check)
         self.timer.every(timing.heartbeat_s, self._home_check.check)
-        self.timer.every(timing.heartbeat_s, lambda _: self._share_retries())
+        self.timer.every(timing.heartbeat_s, lambda _: self._update_retry_budget())
         self.timer.every(timing.heartbeat_s, self._crash_spread.repeat)
         self.timer.every(CHECK_INTERVAL_S, self.resources.check)
         if self.settings.has(Mechanism.SILENCE_SUSPECTED):
-            self.timer.every(SUSPECT_AGAIN_S, self._suspect_silent)
+            self.timer.every(SUSPECT_INTERVAL_S, self._suspect_silent_groups)
         self.timer.every(timing.fleet_update_s, lambda _: self._sharing.publish())
-        self.timer.every(COUNTERS_LOGGED_S, lambda _: self._log_counters())
+        self.timer.every(COUNTERS_LOG_INTERVAL_S, lambda _: self._log_counters())
         self.spawn(self.timer.run())
         self.spawn(self._configurations.run())
-        self.spawn(self._list.run())
+        self.spawn(self._list_follower.run())
         self.spawn(self._lease_keeper.run())
         self.spawn(self._crash_keeper.run())
 
@@ -351,7 +351,7 @@
             **self.resources.gauges(),
         }
 
-    def _share_retries(self) -> None:
+    def _update_retry_budget(self) -> None:
         """Take this entry's part of the repeats that all entries may make."""
         entries = 1 + max(len(self.peers.all_peers()), len(self.settings.peer) - 1)
         self.retry_budget.max_balance = self.settings.retries_at_once / entries
@@ -370,40 +370,40 @@
         }
 
     def _tick(self, now_s: float) -> None:
-        self._start.check(now_s)
-        if now_s - self._ticked_s > self._timing.pause_noticed_s:
+        self._start_steps.check(now_s)
+        if now_s - self._last_tick_s > self._timing.min_pause_s:
             self.coordination.coordinator.on_pause()
-        self._ticked_s = now_s
+        self._last_tick_s = now_s
         self._drains.tick(now_s)
         # Every entry follows what is offered, as it may be the next to form groups.
         if self.lease.held or self.settings.has(Mechanism.FOLLOWED_DEMAND):
-            self._take_demand(now_s)
+            self._update_demand(now_s)
         if self.lease.held:
-            self._step()
+            self._tick_coordinator()
 
-    def _step_soon(self) -> None:
+    def _schedule_coordinator_tick(self) -> None:
         """Have the coordinator go on soon, as something that it waits for has come."""
-        if not self._step_planned:
-            self._step_planned = True
-            self._loop.call_at(max(self._loop.time(), self._step_due_s), self._step)
+        if not self._tick_planned:
+            self._tick_planned = True
+            self._loop.call_at(max(self._loop.time(), self._tick_due_s), self._tick_coordinator)
 
-    def _step(self) -> None:
+    def _tick_coordinator(self) -> None:
         """Step the coordinator; on a large site steps take longer and come less often."""
-        self._step_planned = False
+        self._tick_planned = False
         begun_s = self._loop.time()
-        if not self.lease.held or begun_s < self._step_due_s:
+        if not self.lease.held or begun_s < self._tick_due_s:
             return
-        if self.coordination.step(begun_s):
+        if self.coordination.run_tick(begun_s):
             self._sharing.publish()
         ended_s = self._loop.time()
-        self._step_due_s = ended_s + STEP_REST_SHARE * (ended_s - begun_s)
+        self._tick_due_s = ended_s + TICK_REST_FACTOR * (ended_s - begun_s)
 
-    def _suspect_silent(self, now_s: float) -> None:
-        silent_s = SUSPECT_AFTER_S + self.lag.since(now_s - SUSPECT_AFTER_S, now_s)
+    def _suspect_silent_groups(self, now_s: float) -> None:
+        silent_s = SUSPECT_SILENCE_S + self.lag.since(now_s - SUSPECT_SILENCE_S, now_s)
         for group in self.serving.fleet.silent_groups(now_s, silent_s):
             self.suspect(group)
 
-    def _take_demand(self, now_s: float) -> None:
+    def _update_demand(self, now_s: float) -> None:
         offered = self._heartbeats.remote_work.offered()
         offered.update(self.meter.offered(now_s))
         self.coordination.coordinator.demand.update(offered, now_s)
@@ -411,10 +411,12 @@
     def suspect(self, group: GroupId) -> None:
         """Have the members of a group asked at once, as its leader fell silent or broke off."""
         now_s = self._loop.time()
-        if now_s < self._suspects_s.get(group, now_s):
+        if now_s < self._suspected_until_s.get(group, now_s):
             return
-        self._suspects_s = {g: at_s for g, at_s in self._suspects_s.items() if at_s > now_s}
-        self._suspects_s[group] = now_s + SUSPECT_AGAIN_S
+        self._suspected_until_s = {
+            g: at_s for g, at_s in self._suspected_until_s.items() if at_s > now_s
+        }
+        self._suspected_until_s[group] = now_s + SUSPECT_INTERVAL_S
         self.metrics.count("group.suspected")
         holder = self.peers.holder(now_s)
         if self.lease.held:
@@ -424,7 +426,7 @@
 
     # Other entries.
 
-    def _received(self, sender: Peer, batch: Batch) -> None:
+    def _on_batch(self, sender: Peer, batch: Batch) -> None:
         for message in batch.messages:
             handler = self._handlers.get(type(message))
             if handler is not None:
@@ -439,10 +441,10 @@
             return
         self._configurations.apply(update.configuration)
 
-    def _halls_changed(self) -> None:
+    def _on_halls_changed(self) -> None:
         """Have others hear at once that a hall is drained or given back, and groups planned."""
         self._heartbeats.send(self._loop.time())
-        self._step_soon()
+        self._schedule_coordinator_tick()
 
     def _on_link_up(self, peer: Peer) -> None:
         self.peers.add_linked(peer, self._loop.time())
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleetsharing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleetsharing.py
@@ -81,7 +81,7 @@
 
     def _apply_list(self, targets: tuple[ListedTarget, ...], polled_s: float, now_s: float) -> None:
         self._cold.listed(targets, now_s)
-        self._coordination.listed(targets, now_s, self._health.regained_s)
+        self._coordination.update_targets(targets, now_s, self._health.regained_s)
         self._view.apply_list(targets, polled_s, now_s, self._health.regained_s)
 
     def _share_list(self, targets: tuple[ListedTarget, ...]) -> None:
@@ -121,7 +121,7 @@
         groups = self._groups_to_publish(now_s)
         if groups is None:
             return
-        lost = self._coordination.lost(now_s)
+        lost = self._coordination.lost_groups(now_s)
         content = FleetContent.build(groups, lost, self._view.plain_targets(), self._view.leaving)
         listed_age_s = self._view.listed_age_s(now_s)
         message = self._publisher.next_message(self._lease.taken_at, content, listed_age_s)
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleetview.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleetview.py
@@ -152,7 +152,7 @@
             self._targets |= listed_targets
         else:
             self._targets = listed_targets
-        self.last_models.note(self._targets.values())
+        self.last_models.record_targets(self._targets.values())
         self._leaving = frozenset(departed | announced)
         self._listed_s = max(self._listed_s, polled_s)
 
@@ -161,7 +161,7 @@
         plain = {i: t for i, t in self._targets.items() if t.engine is None}
         engines = {each.instance: each for each in targets if each.engine is not None}
         self._targets = plain | engines
-        self.last_models.note(targets)
+        self.last_models.record_targets(targets)
 
     def list_is_stale(self, now_s: float) -> bool:
         """Return whether the list is too old, so that this entry has to read it itself."""
--- a/packages/ochreway-direct/src/ochreway_direct/lastmodels.py
+++ b/packages/ochreway-direct/src/ochreway_direct/lastmodels.py
@@ -21,19 +21,19 @@
     def __init__(self) -> None:
         self._models: dict[InstanceId, ModelName] = {}
 
-    def note(self, targets: Iterable[ListedTarget]) -> None:
+    def record_targets(self, targets: Iterable[ListedTarget]) -> None:
         """Take a list; an engine that is not on it any more is forgotten."""
-        found: dict[InstanceId, ModelName] = {}
+        models: dict[InstanceId, ModelName] = {}
         for target in targets:
             state = target.engine
             known = self._models.get(target.instance)
             if state is not None and state.membership is not None:
                 known = state.model or known
             if known is not None:
-                found[target.instance] = known
-        self._models = found
+                models[target.instance] = known
+        self._models = models
 
-    def of(self, instance: InstanceId) -> ModelName | None:
+    def model_of(self, instance: InstanceId) -> ModelName | None:
         """Return the model that an engine served last, if it is known."""
         return self._models.get(instance)
 
--- a/packages/ochreway-direct/src/ochreway_direct/lazymetricspage.py
+++ b/packages/ochreway-direct/src/ochreway_direct/lazymetricspage.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from ochreway_runtime.metricspage import Gauges, MetricsPage
 
-MODULE = "ochreway_runtime.metricspage"
+PAGE_MODULE = "ochreway_runtime.metricspage"
 """It imports a large library, which callers would have to wait for after a restart."""
 
 
@@ -26,7 +26,7 @@
 
     async def answer(self, _: web.BaseRequest) -> web.Response:
         """Return the page."""
-        module = await asyncio.to_thread(importlib.import_module, MODULE)
+        module = await asyncio.to_thread(importlib.import_module, PAGE_MODULE)
         if self._page is None:
             self._page = module.MetricsPage(self._metrics, self._gauges)
         return web.Response(body=self._page.render(), headers={"Content-Type": module.CONTENT_TYPE})
--- a/packages/ochreway-direct/src/ochreway_direct/leases/leasekeeper.py
+++ b/packages/ochreway-direct/src/ochreway_direct/leases/leasekeeper.py
@@ -116,13 +116,13 @@
         """
         row = self._lease.row
         heard = row is not None and self._peers.was_ever_seen(row.holder.node)
-        return self._timing.peer_silent_s if heard else self._timing.lease_unheard_s
+        return self._timing.peer_silent_s if heard else self._timing.lease_unseen_timeout_s
 
     async def _take(self, now_s: float) -> None:
         self._metrics.count("lease.observed")
         await self._lease.observe(now_s)
         if not self._lease.free(now_s, self._unchanged_s()):
-            self._observe_due_s = self._loop.time() + self._timing.lease_observed_again_s
+            self._observe_due_s = self._loop.time() + self._timing.lease_observe_interval_s
             return
         if not await self._lease.take(now_s):
             self._free_since_s = self._loop.time()
--- a/packages/ochreway-direct/src/ochreway_direct/lists/listfollower.py
+++ b/packages/ochreway-direct/src/ochreway_direct/lists/listfollower.py
@@ -62,7 +62,7 @@
             self._on_error(error, polled_s)
             return self._backoff.failed()
         self._backoff.succeeded()
-        self._health.answered(polled_s, self._loop.time())
+        self._health.on_answer(polled_s, self._loop.time())
         self._unavailable.over(self._loop.time())
         self._record_unreadable(reading.unreadable)
         self._on_reading(reading)
@@ -72,7 +72,7 @@
         now_s = self._loop.time()
         self._metrics.count("list.unavailable")
         self._unavailable.met(str(error), now_s)
-        self._health.failed(min(now_s, polled_s + self._timing.list_wait_s))
+        self._health.on_failure(min(now_s, polled_s + self._timing.list_wait_s))
 
     def _record_unreadable(self, unreadable: Mapping[str, str]) -> None:
         now_s = self._loop.time()
--- a/packages/ochreway-direct/src/ochreway_direct/main.py
+++ b/packages/ochreway-direct/src/ochreway_direct/main.py
@@ -106,29 +106,38 @@
 
 async def run(settings: DirectSettings) -> int:
     """Run until a signal asks to stop."""
-    earlylistener.close_others(settings.caller_listen)
+    earlylistener.close_other_sockets(settings.caller_listen)
     log = EventLog("entry", settings.name, settings.log_level)
     metrics = Metrics(settings.statsd, "entry")
     importlib.import_module(settings.adapter)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: log.event("hang_up"))
     jar = aiohttp.DummyCookieJar()
-    resting = IdleLimits()
-    to_targets = TargetConnector(lambda: metrics.count("connections.target"), resting)
-    to_one = TargetConnector(lambda: metrics.count("connections.single"), keep_alive=False)
-    to_platform = TargetConnector(lambda: metrics.count("connections.platform"))
+    idle_limits = IdleLimits()
+    target_connector = TargetConnector(lambda: metrics.count("connections.target"), idle_limits)
+    single_connector = TargetConnector(
+        lambda: metrics.count("connections.single"), keep_alive=False
+    )
+    platform_connector = TargetConnector(lambda: metrics.count("connections.platform"))
     async with (
-        target_session(to_targets) as kept,
-        target_session(to_one) as single,
-        aiohttp.ClientSession(connector=to_platform, cookie_jar=jar) as platform,
+        target_session(target_connector) as kept_session,
+        target_session(single_connector) as single_session,
+        aiohttp.ClientSession(connector=platform_connector, cookie_jar=jar) as platform_session,
     ):
-        services = ADAPTERS[settings.adapter](platform, settings.platform_url)
-        entry = DirectEntry(settings, services, DirectTiming(), log, metrics, resting)
+        services = ADAPTERS[settings.adapter](platform_session, settings.platform_url)
+        entry = DirectEntry(settings, services, DirectTiming(), log, metrics, idle_limits)
         relay = Relay(
-            *(entry.serving, services.dialect, kept, single, entry.meter, RelayTuning()),
+            *(
+                entry.serving,
+                services.dialect,
+                kept_session,
+                single_session,
+                entry.meter,
+                RelayTuning(),
+            ),
             *(entry.retry_budget, entry.suspect, entry.crashes, entry.notices, log, metrics),
         )
         try:
@@ -136,8 +145,8 @@
             await wait_for_first_configuration(entry.serving)
             callers = await _serve_callers(settings, entry, relay)
             ready = await _serve_ready(settings, entry)
-            connections = TargetConnections((to_targets, to_one), metrics, relay)
-            figures = await _serve_metrics(settings, entry, relay, metrics, connections)
+            connections = TargetConnections((target_connector, single_connector), metrics, relay)
+            metrics_runner = await _serve_metrics(settings, entry, relay, metrics, connections)
         except OSError as fault:
             log.fault("cannot_listen", cause=fault)
             await entry.stop()
@@ -145,7 +154,9 @@
         log.event("started", pid=os.getpid(), callers=settings.caller_listen)
         await stop.wait()
         await _drain(entry, relay)
-        await asyncio.gather(*(runner.cleanup() for runner in (callers, ready, figures) if runner))
+        await asyncio.gather(
+            *(runner.cleanup() for runner in (callers, ready, metrics_runner) if runner)
+        )
         await entry.stop()
         log.event("stopped", open_calls=relay.open_calls)
     log.flush()
@@ -203,7 +214,7 @@
 
 async def _listen(runner: web.ServerRunner, address: str) -> web.ServerRunner:
     await runner.setup()
-    listening = earlylistener.take(address)
+    listening = earlylistener.claim_socket(address)
     if listening is not None:
         await web.SockSite(runner, listening, backlog=BACKLOG).start()
         return runner
--- a/packages/ochreway-direct/src/ochreway_direct/noticewatch.py
+++ b/packages/ochreway-direct/src/ochreway_direct/noticewatch.py
@@ -12,11 +12,11 @@
 from ochreway_runtime.logs import EventLog
 from ochreway_runtime.metrics import Metrics
 
-USE_TOLD_S = 5.0
+USE_LOG_INTERVAL_S = 5.0
 """How often a log tells at the most what one target with a limit got from this entry."""
-ASKED_EACH_S = 10.0
+QUERY_INTERVAL_S = 10.0
 """How often an engine with a limit is asked for its state: a question may count as a request."""
-ASKED_URGENTLY_EACH_S = 2.0
+URGENT_QUERY_INTERVAL_S = 2.0
 """How often while something is awaited of it, such as its part in a group that changes."""
 
 
@@ -38,10 +38,12 @@
         self._limits = limits
         self._log = log
         self._metrics = metrics
-        self._used: dict[InstanceId, LimitUse] = {}
-        self._asked_s: dict[InstanceId, float] = {}
+        self._limit_use: dict[InstanceId, LimitUse] = {}
+        self._last_query_s: dict[InstanceId, float] = {}
 
-    def heard(self, instance: InstanceId, notice: TargetNotice, born_ms: int | None = None) -> None:
+    def on_notice(
+        self, instance: InstanceId, notice: TargetNotice, born_ms: int | None = None
+    ) -> None:
         """Take what an answer says of the target that gave it."""
         if notice.backoff_s is not None:
             self._metrics.count("notice.backoff")
@@ -58,19 +60,21 @@
         else:
             self._log.event("target_backoff", target=instance, asked_s=notice.backoff_s)
 
-    def answered(
+    def on_answer(
         self, instance: InstanceId, notice: TargetNotice, born_ms: int | None = None
     ) -> None:
         """Take what the answer to a request says; one that names no limit says that it is over."""
-        self.heard(instance, notice, born_ms)
-        self._take_limit(instance, notice.limit_per_s, born_ms)
+        self.on_notice(instance, notice, born_ms)
+        self._update_limit(instance, notice.limit_per_s, born_ms)
 
-    def named(self, instance: InstanceId, limit_per_s: float, born_ms: int | None) -> None:
+    def on_reported_limit(
+        self, instance: InstanceId, limit_per_s: float, born_ms: int | None
+    ) -> None:
         """Take a limit that an engine named in a report; one without says nothing of it."""
         self._metrics.count("notice.limit")
-        self._take_limit(instance, limit_per_s, born_ms)
+        self._update_limit(instance, limit_per_s, born_ms)
 
-    def _take_limit(
+    def _update_limit(
         self, instance: InstanceId, limit_per_s: float | None, born_ms: int | None
     ) -> None:
         now_s = asyncio.get_running_loop().time()
@@ -79,17 +83,17 @@
             self._log.event(
                 "target_limit", target=instance, limit_per_s=limit_per_s or "", before=before or ""
             )
-        self._count(instance, limit_per_s, now_s)
+        self._count_answer(instance, limit_per_s, now_s)
 
-    def _count(self, instance: InstanceId, limit_per_s: float | None, now_s: float) -> None:
+    def _count_answer(self, instance: InstanceId, limit_per_s: float | None, now_s: float) -> None:
         """Count the answers of targets with a limit, and tell now and then how many came."""
         if limit_per_s is None:
-            self._used.pop(instance, None)
+            self._limit_use.pop(instance, None)
             return
-        use = self._used.setdefault(instance, LimitUse(now_s))
-        _bound(self._used)
+        use = self._limit_use.setdefault(instance, LimitUse(now_s))
+        _drop_oldest(self._limit_use)
         use.answers += 1
-        if now_s - use.since_s < USE_TOLD_S:
+        if now_s - use.since_s < USE_LOG_INTERVAL_S:
             return
         self._log.event(
             "target_limit_used",
@@ -98,25 +102,25 @@
             answers=use.answers,
             for_s=round(now_s - use.since_s, 2),
         )
-        self._used[instance] = LimitUse(now_s)
+        self._limit_use[instance] = LimitUse(now_s)
 
     def wait_s(self, instance: InstanceId, born_ms: int | None = None) -> float:
         """Return for how long a target is to get nothing; infinite if it leaves."""
         return self._backoffs.wait_s(instance, asyncio.get_running_loop().time(), born_ms)
 
-    def may_ask(self, instance: InstanceId, born_ms: int | None, urgent: bool) -> bool:
+    def may_query(self, instance: InstanceId, born_ms: int | None, urgent: bool) -> bool:
         """Tell whether an engine may be asked for its state now, which it then is."""
         if self.backed_off(instance, born_ms):
             return False
         if self._limits.limit_per_s(instance, born_ms) is None:
-            self._asked_s.pop(instance, None)
+            self._last_query_s.pop(instance, None)
             return True
         now_s = asyncio.get_running_loop().time()
-        each_s = ASKED_URGENTLY_EACH_S if urgent else ASKED_EACH_S
-        if now_s - self._asked_s.get(instance, -ASKED_EACH_S) < each_s:
+        interval_s = URGENT_QUERY_INTERVAL_S if urgent else QUERY_INTERVAL_S
+        if now_s - self._last_query_s.get(instance, -QUERY_INTERVAL_S) < interval_s:
             return False
-        self._asked_s[instance] = now_s
-        _bound(self._asked_s)
+        self._last_query_s[instance] = now_s
+        _drop_oldest(self._last_query_s)
         return True
 
     def backed_off(self, instance: InstanceId, born_ms: int | None = None) -> bool:
@@ -136,10 +140,10 @@
         }
 
 
-def _bound(kept: dict[InstanceId, Any]) -> None:
+def _drop_oldest(states: dict[InstanceId, Any]) -> None:
     """Forget what was noted first of more targets than are kept."""
-    if len(kept) > MAX_TARGETS:
-        del kept[next(iter(kept))]
+    if len(states) > MAX_TARGETS:
+        del states[next(iter(states))]
 
 
 __all__ = ["NoticeWatch"]
--- a/packages/ochreway-direct/src/ochreway_direct/planlog.py
+++ b/packages/ochreway-direct/src/ochreway_direct/planlog.py
@@ -9,16 +9,16 @@
 from ochreway_direct.ids import ServiceName
 from ochreway_runtime.logs import EventLog
 
-LEAST_GAP_S = 0.5
+MIN_LOG_GAP_S = 0.5
 """The least time between two lines of a service."""
-NEED_CHANGE = 0.5
+MIN_DEMAND_CHANGE = 0.5
 """By how many groups' work a need has to change to be told."""
-NEED_CHANGE_SHARE = 0.15
+MIN_DEMAND_CHANGE_SHARE = 0.15
 """The same as a share of the need, where that is more."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
+class _LoggedPlan:
     plan: PlanSummary
     loading: int
     at_s: float
@@ -29,25 +29,25 @@
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
-        self._told: dict[ServiceName, _Told] = {}
+        self._last_logged: dict[ServiceName, _LoggedPlan] = {}
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Have the next plan told whatever was told before."""
-        self._told.clear()
+        self._last_logged.clear()
 
     def due(self, service: ServiceName, now_s: float) -> bool:
         """Tell whether a line of a service may be written again."""
-        told = self._told.get(service)
-        return told is None or now_s - told.at_s >= LEAST_GAP_S
+        logged = self._last_logged.get(service)
+        return logged is None or now_s - logged.at_s >= MIN_LOG_GAP_S
 
-    def step(self, service: ServiceName, plan: PlanSummary, loading: int, now_s: float) -> None:
+    def log_plan(self, service: ServiceName, plan: PlanSummary, loading: int, now_s: float) -> None:
         """Write the line of a service if it may be written and anything has changed."""
         if not self.due(service, now_s):
             return
-        told = self._told.get(service)
-        if told is not None and not _differs(told, plan, loading):
+        logged = self._last_logged.get(service)
+        if logged is not None and not _plan_changed(logged, plan, loading):
             return
-        self._told[service] = _Told(plan, loading, now_s)
+        self._last_logged[service] = _LoggedPlan(plan, loading, now_s)
         self._log.event(
             "plan",
             service=service,
@@ -68,17 +68,19 @@
     )
 
 
-def _differs(told: _Told, plan: PlanSummary, loading: int) -> bool:
-    before = told.plan
+def _plan_changed(logged: _LoggedPlan, plan: PlanSummary, loading: int) -> bool:
+    before = logged.plan
     if (before.wanted, before.standing) != (plan.wanted, plan.standing):
         return True
-    if before.measured != plan.measured or bool(told.loading) != bool(loading):
+    if before.measured != plan.measured or bool(logged.loading) != bool(loading):
         return True
-    return any(_moved(before.needs.get(model, 0.0), need) for model, need in plan.needs.items())
+    return any(
+        _demand_changed(before.needs.get(model, 0.0), need) for model, need in plan.needs.items()
+    )
 
 
-def _moved(before: float, need: float) -> bool:
-    return abs(need - before) > max(NEED_CHANGE, NEED_CHANGE_SHARE * max(before, need))
+def _demand_changed(before: float, need: float) -> bool:
+    return abs(need - before) > max(MIN_DEMAND_CHANGE, MIN_DEMAND_CHANGE_SHARE * max(before, need))
 
 
-__all__ = ["LEAST_GAP_S", "PlanLog", "slots_text"]
+__all__ = ["MIN_LOG_GAP_S", "PlanLog", "slots_text"]
--- a/packages/ochreway-direct/src/ochreway_direct/platformhealth.py
+++ b/packages/ochreway-direct/src/ochreway_direct/platformhealth.py
@@ -2,7 +2,7 @@
 """Since when the platform's store has been answering this entry."""
 
 NEVER_S = -1.0e9
-OUTAGE_LEAST_S = 0.4
+MIN_OUTAGE_S = 0.4
 """How long answers have to be missing to count as an outage; one reset connection takes less."""
 
 
@@ -18,19 +18,19 @@
         """Tell whether the newest call failed."""
         return self._failing_since_s is not None
 
-    def failed(self, due_s: float) -> None:
+    def on_failure(self, due_s: float) -> None:
         """Note a call that failed; its answer was due at a time."""
         if self._failing_since_s is None:
             self._failing_since_s = due_s
 
-    def answered(self, asked_s: float, now_s: float) -> None:
+    def on_answer(self, polled_s: float, now_s: float) -> None:
         """Note an answer; it ends an outage only if it was asked for after that began."""
         since_s = self._failing_since_s
-        if since_s is None or asked_s < since_s:
+        if since_s is None or polled_s < since_s:
             return
         self._failing_since_s = None
-        if now_s - since_s >= OUTAGE_LEAST_S:
+        if now_s - since_s >= MIN_OUTAGE_S:
             self.regained_s = now_s
 
 
-__all__ = ["OUTAGE_LEAST_S", "PlatformHealth"]
+__all__ = ["MIN_OUTAGE_S", "PlatformHealth"]
--- a/packages/ochreway-direct/src/ochreway_direct/relay/admission.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/admission.py
@@ -52,7 +52,7 @@
         if self._serving.closed:
             raise Refused(NOT_RUN_STATUS, Reason.STOPPING, self._tuning.retry_after_elsewhere_s)
         # Awaited before the routes are read, as a newer configuration may arrive meanwhile.
-        await self._serving.keys_proved()
+        await self._serving.wait_for_trusted_keys()
         routes = self._serving.routes
         if routes is None:
             raise Refused(NOT_RUN_STATUS, Reason.NO_CONFIGURATION, self._tuning.retry_after_stale_s)
@@ -140,7 +140,7 @@
         call.work_s = work_s(
             service.engine, call.terms.model, call.terms.prompt_tokens, call.terms.answer_tokens
         )
-        self._meter.note(call.terms.model, call.work_s, call.started_s)
+        self._meter.record_work(call.terms.model, call.work_s, call.started_s)
 
 
 def _fingerprint(call: Call) -> Fingerprint:
--- a/packages/ochreway-direct/src/ochreway_direct/relay/exchange.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/exchange.py
@@ -127,9 +127,9 @@
     def _record_notice(self, call: Call, attempt: Attempt, head: AnswerHead) -> None:
         """Record the target's notice; only its own answer to this request may end a limit."""
         if head.own and head.request == call.terms.request:
-            self._notices.answered(attempt.instance, head.notice, attempt.born_ms)
+            self._notices.on_answer(attempt.instance, head.notice, attempt.born_ms)
         else:
-            self._notices.heard(attempt.instance, head.notice, attempt.born_ms)
+            self._notices.on_notice(attempt.instance, head.notice, attempt.born_ms)
 
     def _rejection(self, head: AnswerHead) -> Ending:
         """Return the result of a request that was not run.
--- a/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
@@ -78,7 +78,7 @@
             call = await self._admission.admit(request, terms)
             self._check_fatal(call)
             self._budget.earn()
-            self._serving.asked += 1
+            self._serving.admitted += 1
             answer = await self._run(call)
             self._call_log.answered(call, answer.status)
             return answer
@@ -263,7 +263,7 @@
     async def _key_still_valid(self) -> bool:
         """Return whether the key that a call was admitted with may still be trusted."""
         version = self._serving.version
-        return await self._serving.keys_proved() and self._serving.version == version
+        return await self._serving.wait_for_trusted_keys() and self._serving.version == version
 
     async def _send(self, call: Call, attempt: Attempt) -> Ending:
         if call.organisation is not None and not await self._key_still_valid():
--- a/packages/ochreway-direct/src/ochreway_direct/serving.py
+++ b/packages/ochreway-direct/src/ochreway_direct/serving.py
@@ -13,12 +13,12 @@
 from ochreway_direct.versions.routetable import RouteTable
 from ochreway_runtime.looplag import LoopLag
 
-PROOF_AWAITED_S = 0.25
+MAX_PROOF_WAIT_S = 0.25
 """How long a call waits for a proof that only this process's own stall has delayed.
 
 A question to the store is answered in some 5 ms, and the first one after a stall is asked at once.
 """
-PROOF_POLL_S = 0.01
+PROOF_POLL_INTERVAL_S = 0.01
 
 
 @dataclass(slots=True)
@@ -37,9 +37,9 @@
     stopping: bool = False
     closed: bool = False
     sent_bytes: int = 0
-    asked: int = 0
+    admitted: int = 0
     proofs_awaited: int = 0
-    short_of: set[Resource] = field(default_factory=set)
+    short_resources: set[Resource] = field(default_factory=set)
     routes: RouteTable | None = field(default=None)
     homes: Homes = field(default_factory=lambda: Homes({}))
     lag: LoopLag | None = None
@@ -75,22 +75,22 @@
         """Tell whether known keys may be let in now."""
         return self.freshness.keys_trusted(asyncio.get_running_loop().time())
 
-    async def keys_proved(self) -> bool:
+    async def wait_for_trusted_keys(self) -> bool:
         """Tell whether known keys may be let in, once a proof that an own stall delays has come.
 
         Refused at once, callers would bear the delay of an entry that can serve them in a moment.
         """
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + PROOF_AWAITED_S
+        deadline_s = loop.time() + MAX_PROOF_WAIT_S
         trusted = self.keys_trusted()
-        if not trusted and self._stall_explains(loop.time()):
+        if not trusted and self._stall_explains_age(loop.time()):
             self.proofs_awaited += 1
-            while not trusted and loop.time() < until_s:
-                await asyncio.sleep(PROOF_POLL_S)
+            while not trusted and loop.time() < deadline_s:
+                await asyncio.sleep(PROOF_POLL_INTERVAL_S)
                 trusted = self.keys_trusted()
         return trusted
 
-    def _stall_explains(self, now_s: float) -> bool:
+    def _stall_explains_age(self, now_s: float) -> bool:
         """Tell whether the proof would be new enough, had this process not stood still since."""
         if self.lag is None:
             return False
@@ -104,7 +104,7 @@
     def ready(self, now_s: float) -> bool:
         """Tell whether new connections are wanted."""
         known = self.routes is not None and self.freshness.keys_trusted(now_s)
-        return known and not self.stopping and not self.short_of
+        return known and not self.stopping and not self.short_resources
 
 
 __all__ = ["Serving"]
--- a/packages/ochreway-direct/src/ochreway_direct/settings.py
+++ b/packages/ochreway-direct/src/ochreway_direct/settings.py
@@ -105,21 +105,21 @@
         return self.retry_slack * RETRY_SHARE
 
 
-def _peers(values: tuple[str, ...]) -> str | None:
+def _check_peers(values: tuple[str, ...]) -> str | None:
     if all(checks.address(value) is None for value in values):
         return None
     return "host:port of other entries' links, with commas between"
 
 
-def _hall_regions(values: tuple[str, ...]) -> str | None:
+def _check_hall_regions(values: tuple[str, ...]) -> str | None:
     pairs = [each.partition("=") for each in values]
-    once = len({hall for hall, _, _ in pairs}) == len(pairs)
-    if once and all(hall and region for hall, _, region in pairs):
+    halls_unique = len({hall for hall, _, _ in pairs}) == len(pairs)
+    if halls_unique and all(hall and region for hall, _, region in pairs):
         return None
     return "hall=region pairs, each hall once, with commas between"
 
 
-def _mechanisms(values: tuple[str, ...]) -> str | None:
+def _check_mechanisms(values: tuple[str, ...]) -> str | None:
     known = [each.value for each in Mechanism]
     return None if set(values) <= set(known) else "among " + ", ".join(known)
 
@@ -132,7 +132,7 @@
     "ready_listen": checks.address,
     "link_listen": checks.address,
     "platform_url": checks.url,
-    "peer": _peers,
+    "peer": _check_peers,
     "link_key": checks.link_key,
     "statsd": checks.optional_address,
     "metrics_listen": checks.optional_address,
@@ -149,11 +149,11 @@
     "hall_drain_ms": checks.positive,
     "cold_excess": checks.positive,
     "cold_slack": checks.not_negative,
-    "hall_regions": _hall_regions,
+    "hall_regions": _check_hall_regions,
     "descriptors": checks.not_negative,
     "memory_mb": checks.not_negative,
     "link_mbps": checks.not_negative,
-    "without": _mechanisms,
+    "without": _check_mechanisms,
 }
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/startsteps.py
+++ b/packages/ochreway-direct/src/ochreway_direct/startsteps.py
@@ -5,13 +5,13 @@
 
 from ochreway_runtime.logs import EventLog
 
-Check = Callable[[float], bool]
+StepCheck = Callable[[float], bool]
 
 
 class StartSteps:
     """Write one line once every step was reached, with the ms that each took since set-up."""
 
-    def __init__(self, steps: Mapping[str, Check], began_s: float, log: EventLog) -> None:
+    def __init__(self, steps: Mapping[str, StepCheck], began_s: float, log: EventLog) -> None:
         self._steps = dict(steps)
         self._began_s = began_s
         self._log = log
--- a/packages/ochreway-direct/src/ochreway_direct/timing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/timing.py
@@ -25,10 +25,10 @@
     peer_silent_s: float = 1.0
     configuration_wait_s: float = 1.2
     configuration_read_wait_s: float = 0.8
-    configuration_follow_s: float = 2.7
-    configuration_follow_gap_s: float = 0.1
-    lease_observed_again_s: float = 0.3
-    configuration_gap_s: float = 0.05
+    configuration_max_proof_age_s: float = 2.7
+    configuration_check_interval_s: float = 0.1
+    lease_observe_interval_s: float = 0.3
+    configuration_poll_gap_s: float = 0.05
     configuration_rest_share: float = 8.0
     configuration_rest_s: float = 0.6
     list_wait_s: float = 0.5
@@ -38,13 +38,13 @@
     lease_stagger_s: float = 0.25
     lease_isolated_s: float = 4.0
     lease_member_wait_s: float = 3.0
-    lease_unheard_s: float = 3.0
+    lease_unseen_timeout_s: float = 3.0
     probe_timeout_s: float = 0.25
     order_timeout_s: float = 0.8
     call_timeout_s: float = 1.5
     backoff_base_s: float = 0.1
     backoff_max_s: float = 1.0
-    pause_noticed_s: float = 0.4
+    min_pause_s: float = 0.4
 
 
 __all__ = ["DirectTiming"]
--- a/packages/ochreway-direct/src/ochreway_direct/versions/configurationfollower.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/configurationfollower.py
@@ -65,7 +65,7 @@
         """Poll for newer versions until cancelled."""
         while True:
             wait_s = self._poll_wait_s()
-            pause_s = self._timing.configuration_follow_gap_s
+            pause_s = self._timing.configuration_check_interval_s
             if wait_s is not None:
                 pause_s = await self._poll(wait_s)
             await asyncio.sleep(pause_s)
@@ -94,7 +94,7 @@
         except PlatformError as error:
             return self._on_error(error, polled_s + wait_s)
         self._backoff.succeeded()
-        self._health.answered(polled_s, self._loop.time())
+        self._health.on_answer(polled_s, self._loop.time())
         self._unavailable.over(self._loop.time(), in_force=self._serving.version)
         return self._apply_reading(reading)
 
@@ -106,13 +106,13 @@
         )
         self._unavailable.met(str(error), now_s, in_force=self._serving.version)
         if not isinstance(error, ConfigurationUnreadable):
-            self._health.failed(min(now_s, due_s))
+            self._health.on_failure(min(now_s, due_s))
         return self._backoff.failed()
 
     def _apply_reading(self, reading: ConfigurationReading) -> float:
         self._on_drained_halls(reading.drained, reading.polled_s)
         if reading.configuration is None:
-            return self._timing.configuration_gap_s
+            return self._timing.configuration_poll_gap_s
         begun_s = self._loop.time()
         self.apply(reading.configuration)
         if reading.configuration.version == self._serving.version:
@@ -120,7 +120,7 @@
         took_s = self._loop.time() - begun_s + reading.decode_time_s
         paced_s = self._timing.configuration_rest_share * took_s
         return min(
-            self._timing.configuration_rest_s, max(self._timing.configuration_gap_s, paced_s)
+            self._timing.configuration_rest_s, max(self._timing.configuration_poll_gap_s, paced_s)
         )
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/versions/versionsharing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/versionsharing.py
@@ -45,7 +45,7 @@
             return timing.configuration_wait_s
         # For example after a pause: a long poll would prove the version too late.
         proof_is_old = (
-            self._serving.freshness.age_s(self._loop.time()) > timing.configuration_follow_s
+            self._serving.freshness.age_s(self._loop.time()) > timing.configuration_max_proof_age_s
         )
         if proof_is_old:
             return 0.0
--- a/packages/ochreway-direct/src/ochreway_direct/work.py
+++ b/packages/ochreway-direct/src/ochreway_direct/work.py
@@ -23,7 +23,7 @@
 NO_WORK = Work()
 
 
-def total(works: Iterable[Work]) -> Work:
+def sum_work(works: Iterable[Work]) -> Work:
     """Return the sum of several entries' work."""
     under_way: Counter[str] = Counter()
     unread: Counter[str] = Counter()
@@ -36,7 +36,7 @@
     return Work(dict(under_way), dict(unread), offered)
 
 
-def without(work: Work, part: Work) -> Work:
+def subtract_work(work: Work, part: Work) -> Work:
     """Return what is left of a sum without a part of it."""
     offered = {m: max(0.0, rate - part.offered.get(m, 0.0)) for m, rate in work.offered.items()}
     return Work(
@@ -46,4 +46,4 @@
     )
 
 
-__all__ = ["NO_WORK", "Work", "total", "without"]
+__all__ = ["NO_WORK", "Work", "sum_work", "subtract_work"]
--- a/packages/ochreway-standins/src/ochreway_standins/engineworld.py
+++ b/packages/ochreway-standins/src/ochreway_standins/engineworld.py
@@ -276,7 +276,7 @@
             for each in self.engines.values()
             if (each.alive or each.instance in self.replaced) and each.listed_s <= self.now_s
         ]
-        self.last_models.note(listed)
+        self.last_models.record_targets(listed)
         self.coordinator.on_listing(listed, self.now_s)
 
     def _probe(self) -> None:
--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/day.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/day.py
@@ -232,7 +232,7 @@
         prompt = figures.prompt_tokens * size
         model = ModelName(figures.model)
         guess = int(figures.answer_tokens)
-        self._meter.note(model, work_s(self._spec, model, int(prompt), guess), now_s)
+        self._meter.record_work(model, work_s(self._spec, model, int(prompt), guess), now_s)
         due_s = now_s + PATIENCE_SHARE * figures.objective_ms / 1000
         return Request(figures, now_s, prompt, answer, FIRST_PART_TOKENS, due_s)
 
--- a/packages/ochreway-standins/src/ochreway_standins/limitbench.py
+++ b/packages/ochreway-standins/src/ochreway_standins/limitbench.py
@@ -67,7 +67,7 @@
         entry = self.random.choices(self._entries, self._weights)[0]
         tokens = self.random.choice(PROMPT_TOKENS)
         now_s = self.world.now_s
-        entry.meter.note(LARGE.name, SPEC.turn_s, now_s)
+        entry.meter.record_work(LARGE.name, SPEC.turn_s, now_s)
         self.outcome.asked += 1
         if not self._try(Waiting(entry, tokens, now_s)):
             self.delayed += 1
--- a/tests/direct/test_backoff.py
+++ b/tests/direct/test_backoff.py
@@ -140,15 +140,15 @@
             server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
             coordination = self.coordination()
-            coordination.listed((self.listed(FIRST_INCARNATION_MS, port),), 0.0, -1.0e9)
+            coordination.update_targets((self.listed(FIRST_INCARNATION_MS, port),), 0.0, -1.0e9)
             record = coordination.coordinator.engines[ENGINE]
             await coordination._probe(record)
             if not listening:
                 server.close()
-            coordination.listed((self.listed(next_born_ms, port),), 0.0, -1.0e9)
+            coordination.update_targets((self.listed(next_born_ms, port),), 0.0, -1.0e9)
             await coordination._probe(record)
             order = Leave(GroupId("g"), Epoch(1))
-            await coordination._order(Assignment(ENGINE, record.listed.address, order))
+            await coordination._send_order(Assignment(ENGINE, record.listed.address, order))
             server.close()
             return self.engines.calls, record.backed_off, record.dead
 
--- a/tests/direct/test_coordination.py
+++ b/tests/direct/test_coordination.py
@@ -69,7 +69,7 @@
                 Metrics(None, "entry"),
             )
             loop = asyncio.get_running_loop()
-            coordination.listed((ENGINE,), loop.time(), -1.0e9)
+            coordination.update_targets((ENGINE,), loop.time(), -1.0e9)
             record = coordination.coordinator.engines[ENGINE.instance]
             lag.tick(loop.time())
             await coordination._probe(record)
@@ -101,10 +101,10 @@
             since_s=0.0,
         )
         coordination.coordinator.groups[group.group] = group
-        coordination.step(0.5)
+        coordination.run_tick(0.5)
         group.enter(GroupPhase.DISSOLVING, 1.0, cause)
-        coordination.step(1.0)
-        return coordination.lost(1.0)
+        coordination.run_tick(1.0)
+        return coordination.lost_groups(1.0)
 
     def test_calls_of_a_group_that_ended_by_itself_are_not_abandoned(self) -> None:
         self.assertEqual((), self.lost_after(PhaseCause.ENDED))
--- a/tests/direct/test_demandmeter.py
+++ b/tests/direct/test_demandmeter.py
@@ -19,43 +19,43 @@
 WORK_S = {SMALL: 0.09, LARGE: 0.13}
 
 
-def play(meter: DemandMeter, seed: int, duration_s: float) -> None:
+def simulate_arrivals(meter: DemandMeter, seed: int, duration_s: float) -> None:
     """Let requests arrive at random from time 0 on."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     for model, rate in PER_S.items():
-        at_s = chance.expovariate(rate)
+        at_s = rng.expovariate(rate)
         while at_s < duration_s:
-            meter.note(model, WORK_S[model] * chance.uniform(0.3, 1.7), at_s)
-            at_s += chance.expovariate(rate)
+            meter.record_work(model, WORK_S[model] * rng.uniform(0.3, 1.7), at_s)
+            at_s += rng.expovariate(rate)
 
 
 class DemandMeterTests(testtools.TestCase):
     def test_nothing_is_offered_before_a_request(self) -> None:
         self.assertEqual({}, DemandMeter().offered(5.0))
 
-    def test_the_first_second_tells_what_is_asked_for(self) -> None:
+    def test_the_first_second_shows_the_offered_work(self) -> None:
         for seed in range(20):
             meter = DemandMeter()
-            play(meter, seed, 1.0)
+            simulate_arrivals(meter, seed, 1.0)
             offered = meter.offered(1.0)
             self.assertLess(abs(offered[SMALL] / (PER_S[SMALL] * WORK_S[SMALL]) - 1.0), 0.4)
             self.assertGreater(offered[SMALL], 2.0 * offered[LARGE])
 
-    def test_one_request_alone_is_no_storm(self) -> None:
+    def test_a_single_request_yields_a_low_rate(self) -> None:
         meter = DemandMeter()
-        meter.note(ModelName("m"), 0.1, 3.0)
+        meter.record_work(ModelName("m"), 0.1, 3.0)
         self.assertLess(meter.offered(3.0)[ModelName("m")], 0.25)
 
-    def test_what_has_ended_is_forgotten(self) -> None:
+    def test_old_requests_decay(self) -> None:
         meter = DemandMeter()
-        meter.note(ModelName("m"), 1.0, 0.0)
+        meter.record_work(ModelName("m"), 1.0, 0.0)
         self.assertLess(meter.offered(30.0)[ModelName("m")], 0.01)
 
-    def test_a_plan_goes_by_the_first_second_and_not_by_configured_shares(self) -> None:
+    def test_a_plan_follows_the_first_second_and_not_the_configured_shares(self) -> None:
         meter, demand = DemandMeter(), Demand()
         for step in range(40):
             if step == 0:
-                play(meter, 1, MEASURED_AT_LEAST_S + 0.2)
+                simulate_arrivals(meter, 1, MEASURED_AT_LEAST_S + 0.2)
             demand.update(meter.offered(step * 0.05), step * 0.05)
         needs = demand.needs(SPEC, 81)
         self.assertGreater(needs[SMALL], 3.0 * needs[LARGE])
--- a/tests/direct/test_earlylistener.py
+++ b/tests/direct/test_earlylistener.py
@@ -16,46 +16,46 @@
         return f"127.0.0.1:{free_port()}"
 
     def listen(self, address: str) -> None:
-        with mock.patch.dict(os.environ, {earlylistener.VARIABLE: address}):
+        with mock.patch.dict(os.environ, {earlylistener.ADDRESS_VARIABLE: address}):
             earlylistener.listen_early()
 
-    def test_callers_can_connect_before_anybody_accepts(self) -> None:
+    def test_callers_can_connect_before_connections_are_accepted(self) -> None:
         address = self.free_address()
         self.listen(address)
         host, _, port = address.partition(":")
         with socket.create_connection((host, int(port)), timeout=10) as caller:
-            listening = earlylistener.take(address)
+            listening = earlylistener.claim_socket(address)
             assert listening is not None
             accepted, _ = listening.accept()
             accepted.sendall(b"here")
             self.assertEqual(b"here", caller.recv(4))
             accepted.close()
             listening.close()
-        self.assertIsNone(earlylistener.take(address))
+        self.assertIsNone(earlylistener.claim_socket(address))
 
     def test_another_address_than_the_one_served_is_closed(self) -> None:
         early, served = self.free_address(), self.free_address()
         self.listen(early)
-        earlylistener.close_others(served)
+        earlylistener.close_other_sockets(served)
         host, _, port = early.partition(":")
         with socket.socket() as again:
             again.bind((host, int(port)))
-        self.assertIsNone(earlylistener.take(early))
+        self.assertIsNone(earlylistener.claim_socket(early))
 
-    def test_an_address_that_is_taken_is_left_to_the_usual_way(self) -> None:
+    def test_an_address_in_use_is_left_to_the_regular_listener(self) -> None:
         with socket.socket() as other:
             other.bind(("127.0.0.1", 0))
             other.listen()
             address = f"127.0.0.1:{other.getsockname()[1]}"
             self.listen(address)
-            self.assertIsNone(earlylistener.take(address))
+            self.assertIsNone(earlylistener.claim_socket(address))
 
-    def test_what_is_no_address_is_passed_over(self) -> None:
+    def test_an_invalid_address_is_ignored(self) -> None:
         for address in ("", "x", "127.0.0.1:", "127.0.0.1:x", ":80", "127.0.0.1:99999999"):
             self.listen(address)
-            self.assertIsNone(earlylistener.take(address), address)
+            self.assertIsNone(earlylistener.claim_socket(address), address)
 
-    def test_it_needs_nothing_that_takes_long_to_load(self) -> None:
+    def test_it_imports_no_large_modules(self) -> None:
         code = (
             "import sys, ochreway_direct.earlylistener;"
             "print([name for name in ('asyncio', 'aiohttp', 'ssl') if name in sys.modules])"
--- a/tests/direct/test_lastmodels.py
+++ b/tests/direct/test_lastmodels.py
@@ -22,18 +22,18 @@
 class LastModelsTests(testtools.TestCase):
     def test_a_model_is_known_after_the_engine_has_left_its_group(self) -> None:
         models = LastModels()
-        models.note([listed(None)])
-        self.assertIsNone(models.of(ONE))
-        models.note([listed(MEMBER)])
-        models.note([listed(None)])
-        self.assertEqual(LARGE.name, models.of(ONE))
+        models.record_targets([listed(None)])
+        self.assertIsNone(models.model_of(ONE))
+        models.record_targets([listed(MEMBER)])
+        models.record_targets([listed(None)])
+        self.assertEqual(LARGE.name, models.model_of(ONE))
 
     def test_an_engine_that_left_the_list_is_forgotten(self) -> None:
         models = LastModels()
-        models.note([listed(MEMBER)])
-        models.note([])
-        models.note([listed(None)])
-        self.assertIsNone(models.of(ONE))
+        models.record_targets([listed(MEMBER)])
+        models.record_targets([])
+        models.record_targets([listed(None)])
+        self.assertIsNone(models.model_of(ONE))
 
     def test_a_new_holder_forms_the_group_again_that_survivors_served(self) -> None:
         """Its engines have other weights staged; only what they served last says they can."""
--- a/tests/direct/test_remotework.py
+++ b/tests/direct/test_remotework.py
@@ -8,7 +8,7 @@
 from ochreway_direct.entries.remotework import COUNTS_MAX_AGE_S, SOURCE_TIMEOUT_S, RemoteWork
 from ochreway_direct.fleets.fleet import Fleet
 from ochreway_direct.ids import CellId, ModelName
-from ochreway_direct.work import Work, total, without
+from ochreway_direct.work import Work, subtract_work, sum_work
 
 CELL = CellId("h/0")
 A, B, C = NodeId("a"), NodeId("b"), NodeId("c")
@@ -60,10 +60,10 @@
 
 class WorkTests(testtools.TestCase):
     def test_a_sum_without_a_part_is_the_other(self) -> None:
-        both = total((work(2), work(3)))
+        both = sum_work((work(2), work(3)))
         self.assertEqual(5, both.under_way["g"])
-        self.assertEqual(work(3), without(both, work(2)))
+        self.assertEqual(work(3), subtract_work(both, work(2)))
 
     def test_a_part_that_the_sum_lacks_takes_nothing_below_zero(self) -> None:
-        left = without(work(1), work(4))
+        left = subtract_work(work(1), work(4))
         self.assertEqual(({}, {}, {MODEL: 0.0}), (left.under_way, left.unread, left.offered))
--- a/tests/direct/test_resourcewatch.py
+++ b/tests/direct/test_resourcewatch.py
@@ -104,18 +104,18 @@
         for quarter in range(9):
             self.serving.sent_bytes = 300 * quarter
             watch.check(quarter / 4)
-        self.assertEqual({Resource.LINK}, self.serving.short_of)
+        self.assertEqual({Resource.LINK}, self.serving.short_resources)
         self.assertEqual(1.2, watch.gauges()["link_share"])
         for quarter in range(9, 14):
             watch.check(quarter / 4)
-        self.assertEqual(set(), self.serving.short_of)
+        self.assertEqual(set(), self.serving.short_resources)
 
     def test_one_large_answer_is_no_full_link(self) -> None:
         watch = self.watch(ResourceBounds(link_bytes_per_s=1_000.0))
         watch.check(0.0)
         self.serving.sent_bytes = 800
         watch.check(0.25)
-        self.assertEqual(set(), self.serving.short_of)
+        self.assertEqual(set(), self.serving.short_resources)
 
     def test_memory_near_its_bound_sends_new_callers_elsewhere(self) -> None:
         path = Path(tempfile.mkdtemp(prefix="ochreway-means-")) / "statm"
@@ -126,7 +126,7 @@
         for pages, short in ((89, False), (90, True), (85, True), (79, False)):
             path.write_text(f"200 {pages} 0 0 0 0 0\n")
             watch.check(0.0)
-            self.assertEqual(short, Resource.MEMORY in self.serving.short_of, pages)
+            self.assertEqual(short, Resource.MEMORY in self.serving.short_resources, pages)
 
     def test_memory_that_cannot_be_read_bounds_nothing(self) -> None:
         watch = self.watch(
@@ -134,7 +134,7 @@
         )
         watch.check(0.0)
         watch.check(0.25)
-        self.assertEqual(set(), self.serving.short_of)
+        self.assertEqual(set(), self.serving.short_resources)
 
     def test_the_memory_of_this_process_can_be_read(self) -> None:
         self.assertGreater(MemoryReader().resident_bytes(), 1_000_000)
--- a/tests/direct/test_sendlimits.py
+++ b/tests/direct/test_sendlimits.py
@@ -299,7 +299,7 @@
             self.assertEqual(16, sum(self.lent(world).values()))
             busy = list(world.entries)[3]
             for _ in range(40):
-                world.entries[busy].meter.note("m", 0.5, world.now_s)  # type: ignore[arg-type]
+                world.entries[busy].meter.record_work("m", 0.5, world.now_s)  # type: ignore[arg-type]
                 world.run(0.2)
             found = self.lent(world)
             self.assertLessEqual(sum(found.values()), 16)
--- a/tests/direct/test_sharing.py
+++ b/tests/direct/test_sharing.py
@@ -121,7 +121,7 @@
             entry.heartbeats.newest_version = Version(9)
             self.assertEqual(0.0, versions.poll_wait_s())
             entry.heartbeats.newest_version = entry.serving.version
-            world._loop.now_s += TIMING.configuration_follow_s + 0.1
+            world._loop.now_s += TIMING.configuration_max_proof_age_s + 0.1
             self.assertEqual(0.0, versions.poll_wait_s())
 
         self.run_world(36, work)
--- a/tests/direct/test_startsteps.py
+++ b/tests/direct/test_startsteps.py
@@ -9,20 +9,20 @@
 from ochreway_runtime.logs import EventLog
 
 
-class Lines(EventLog):
+class RecordedLines(EventLog):
     """Keep events in place of writing them."""
 
     def __init__(self) -> None:
         super().__init__("entry", "e", "error")
-        self.told: list[tuple[str, dict[str, Any]]] = []
+        self.recorded: list[tuple[str, dict[str, Any]]] = []
 
     def event(self, name: str, **fields: object) -> None:
-        self.told.append((name, fields))
+        self.recorded.append((name, fields))
 
 
 class StartStepsTests(testtools.TestCase):
-    def test_one_line_tells_when_each_step_was_reached(self) -> None:
-        log = Lines()
+    def test_one_line_shows_when_each_step_was_reached(self) -> None:
+        log = RecordedLines()
         done: set[str] = set()
         names = ("list", "groups")
         steps = {name: lambda _, name=name: name in done for name in names}
@@ -30,17 +30,17 @@
         start.check(10.1)
         done.add("groups")
         start.check(10.25)
-        self.assertEqual([], log.told)
+        self.assertEqual([], log.recorded)
         done.add("list")
         start.check(10.5)
         start.check(10.6)
-        ((name, fields),) = log.told
+        ((name, fields),) = log.recorded
         self.assertEqual("start_steps", name)
         self.assertEqual({"groups_ms": 250, "list_ms": 500}, fields)
 
 
 class ImportTests(testtools.TestCase):
-    def test_an_entry_starts_without_the_library_of_its_figures(self) -> None:
+    def test_an_entry_starts_without_the_metrics_library(self) -> None:
         code = (
             "import sys, ochreway_direct.main;"
             "print([name for name in ('prometheus_client', 'wsgiref') if name in sys.modules])"
