--- a/packages/ochreway-direct/src/ochreway_direct/__init__.py
+++ b/packages/ochreway-direct/src/ochreway_direct/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An entry that sends requests straight to targets, and forms groups from what engines report."""
+"""An entry that sends requests directly to targets, and forms groups from reported states."""
--- a/packages/ochreway-direct/src/ochreway_direct/__main__.py
+++ b/packages/ochreway-direct/src/ochreway_direct/__main__.py
@@ -3,8 +3,8 @@
 
 import gc
 
-# Nothing that an import makes becomes garbage, and looking for it there takes a tenth of a second,
-# for which a restarted entry is missing.
+# Imports create no garbage, and collecting it would take a tenth of a second, by which a restarted
+# entry would be unavailable for longer.
 gc.disable()
 
 from ochreway_direct.earlylistener import listen_early  # noqa: E402
--- a/packages/ochreway-direct/src/ochreway_direct/configuration.py
+++ b/packages/ochreway-direct/src/ochreway_direct/configuration.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The accepted configuration of a site whose targets are reached directly."""
+"""The accepted configuration of a site with direct entries."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,7 +9,7 @@
 
 
 class RouteKind(Enum):
-    """Say how often a request may run, and how it is answered."""
+    """Define whether a request may run more than once, and how it is answered."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """Give a service its weight among those of a route."""
+    """Hold the weight of a service among those of a route."""
 
     service: ServiceName
     weight: int
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Say where requests of a host below a path prefix go, and under what bounds.
+    """Map requests for a host and path prefix to services, with their limits.
 
     With ``homes``, its requests may only be served in those regions.
     """
@@ -47,7 +47,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         return self.kind is RouteKind.SAFE or (self.kind is RouteKind.STREAM and self.resumable)
 
 
@@ -55,7 +55,7 @@
 class ModelSpec:
     """Describe a model that a group of engines serves together.
 
-    ``share`` is its part of the work until any was measured, in proportion to the other models'.
+    ``share`` is its assumed share of the work until any was measured, relative to other models.
     """
 
     name: ModelName
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """Hold the figures of a service's engines; the rates belong to a whole group."""
+    """Hold the performance figures of a service's engines; rates are those of a complete group."""
 
     slots: int
     models: tuple[ModelSpec, ...]
@@ -86,12 +86,12 @@
     report_lag_s: float = 0.2
 
     def token_s(self, requests: float) -> float:
-        """Return the time that a group takes for a token of each of so many requests."""
+        """Return the time a group takes to produce one token for each of the given requests."""
         return self.step_s + requests * self.per_sequence_s
 
     @property
     def turn_s(self) -> float:
-        """Return how soon one of a full group's slots is free, at a model's usual pace."""
+        """Return the mean time until a slot of a full group becomes free, at the usual pace."""
         writing_s = self.usual_answer_tokens * self.token_s(self.slots)
         reading_s = self.usual_prompt_tokens / self.read_tokens_per_s
         return reading_s + writing_s / self.slots
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdStart:
-    """Say what a target bears while it is cold, and for how long it usually is so."""
+    """Hold the request rate that a cold target can handle, and how long it usually stays cold."""
 
     requests_per_s: float
     lasting_s: float
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """Describe the targets of one service; without ``cold_start`` they bear all at once."""
+    """Describe the targets of a service; without ``cold_start`` they take full load at once."""
 
     name: ServiceName
     connections_at_most: int
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Organisation:
-    """Name an organisation and the keys that its callers present.
+    """Describe an organisation and the keys that its callers present.
 
     With ``homes``, its requests may only be served in those regions.
     """
@@ -134,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bound what a caller may send and how long it may take."""
+    """Bound the size of a caller's request and the time to send it."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
--- a/packages/ochreway-direct/src/ochreway_direct/coordination.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordination.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Carrying out what the coordinator decides: probes and orders to engines."""
+"""Execution of the coordinator's decisions: probes and orders to engines."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Iterable
@@ -32,16 +32,16 @@
 Spawn = Callable[[Coroutine[None, None, None]], object]
 SUMMARY_INTERVAL_S = 1.0
 MAX_STALL_SHARE = 0.3
-"""The share of a probe's time that this process may stand still for its silence to count.
+"""Maximum share of a probe's timeout that this process may stall for a missing answer to count.
 
-Answers take a few ms, so what is left of the time is enough for one.
+Answers take a few ms, so the rest of the timeout is long enough for one.
 """
 LOST_GROUP_RETENTION_S = 3.0
-"""For how long a lost group is named in updates."""
+"""How long a lost group is listed in fleet updates."""
 
 
 class Coordination:
-    """Step the coordinator and run its probes and orders as tasks."""
+    """Run the coordinator's ticks, and its probes and orders as tasks."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
         now_s: float,
         regained_s: float,
     ) -> None:
-        """Start with epochs above the one given and what is known of targets so far."""
+        """Start coordinating, with epochs above the given one and the targets known so far."""
         self.coordinator.begin(epoch, now_s, last_models)
         self.coordinator.on_listing(targets, now_s, regained_s)
         self._phases.clear()
@@ -91,11 +91,11 @@
     def update_targets(
         self, targets: Iterable[ListedTarget], now_s: float, regained_s: float
     ) -> None:
-        """Take the platform's list; the store's last outage ended at ``regained_s``."""
+        """Apply the platform's list; the store's last outage ended at ``regained_s``."""
         self.coordinator.on_listing(targets, now_s, regained_s)
 
     def run_tick(self, now_s: float) -> bool:
-        """Give the orders that are due; return whether a group's phase changed."""
+        """Start the due orders and probes; return whether a group's phase changed."""
         for assignment in self.coordinator.tick(now_s):
             self._metrics.count(f"order.{type(assignment.order).__name__.lower()}")
             self._spawn(self._send_order(assignment))
@@ -128,7 +128,7 @@
                 self._plan_log.log_plan(service, plan, self.coordinator.loading(service), now_s)
 
     def lost_groups(self, now_s: float) -> tuple[GroupId, ...]:
-        """Return the groups whose requests have to be abandoned."""
+        """Return the recently lost groups, whose requests have to be abandoned."""
         self._lost_since_s = {
             g: at_s
             for g, at_s in self._lost_since_s.items()
@@ -156,8 +156,8 @@
                 members=",".join(group.members),
                 domain=group.domain,
             )
-            # Nothing runs any more at one that ended by itself: to name it lost would only have
-            # entries abandon what they had sent there last and send it again.
+            # A group that ended by itself has no requests left: listing it as lost would only make
+            # entries abandon and repeat the ones that they sent there last.
             if phase is GroupPhase.DISSOLVING and group.cause is not PhaseCause.ENDED:
                 self._lost_since_s[name] = now_s
         self._phases = phases
@@ -184,7 +184,7 @@
         )
 
     async def _try_order(self, assignment: Assignment) -> OrderOutcome:
-        """Give an order, unless its engine asked to be left alone; it is then given later."""
+        """Send an order, unless its engine requested a backoff; it is then repeated later."""
         born_ms = self._born_ms(assignment.instance)
         if self._notices.backed_off(assignment.instance, born_ms):
             self._metrics.count("order.withheld")
@@ -201,15 +201,15 @@
             return OrderOutcome.TURNED_AWAY
 
     def _born_ms(self, instance: InstanceId) -> int | None:
-        """Return which life of an engine is listed: what the one before asked for is over."""
+        """Return the start time of the listed incarnation; requests of a former one are void."""
         record = self.coordinator.engines.get(instance)
         return record.listed.born_ms if record is not None else None
 
     async def _check_process(self, record: EngineRecord) -> None:
-        """Find out whether the process of an engine stands, without a question to it.
+        """Check whether the process of an engine exists, without a query to it.
 
-        So the loss of a leader that asked to be left alone, or named a limit, is seen as soon as
-        any other's, and its group repaired.
+        The loss of a leader that requested a backoff, or announced a limit, is thus detected as
+        fast as any other, and its group repaired.
         """
         self._metrics.count("probe.unasked")
         ended = await self._target_check.ended(record.listed.address)
@@ -252,7 +252,7 @@
             refused = isinstance(fault, TargetUnreachable)
             stalled_s = self._lag.since(probed_s, loop.time())
             if not refused and stalled_s > MAX_STALL_SHARE * timeout_s:
-                # The answer may have come while this process itself stood still.
+                # The answer may have arrived while this process itself was stalled.
                 self._metrics.count("probe.own_stall")
                 self.coordinator.on_unsettled(instance)
                 return
--- a/packages/ochreway-direct/src/ochreway_direct/demandmeter.py
+++ b/packages/ochreway-direct/src/ochreway_direct/demandmeter.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How much work arrives for each model at this entry."""
+"""Rate of work offered to this entry for each model."""
 
 import math
 from collections.abc import Mapping
@@ -7,17 +7,17 @@
 from ochreway_direct.ids import ModelName
 
 DECAY_S = 5.0
-"""How fast a request is forgotten: half a wave of the load, and some hundred requests, long."""
+"""Time constant of the decay: half a wave of the load, and some hundred requests long."""
 MIN_MEASURED_S = 0.5
-"""The shortest time that a rate is taken over: a first request alone tells nothing of a rate."""
+"""Minimum time over which a rate is computed, as a single first request gives none."""
 
 
 class DemandMeter:
-    """Hold a decaying rate of arriving work for each model, in groups kept busy.
+    """Hold an exponentially decaying rate of offered work for each model, in fully busy groups.
 
-    A decaying sum that has just begun falls short of the rate: by four fifths after one second. It
-    is divided by the share of its memory that has passed, so that the first second of requests
-    already tells how much is asked for, and of which model.
+    A decaying sum that has just begun underestimates the rate: by four fifths after one second. It
+    is divided by the effective time that it covers, so that the first second of requests already
+    shows how much work is offered, and for which model.
     """
 
     def __init__(self) -> None:
@@ -26,14 +26,14 @@
         self._first_recorded_s: float | None = None
 
     def record_work(self, model: ModelName, work_s: float, now_s: float) -> None:
-        """Take the work of one arriving request."""
+        """Add the work of an arriving request, in seconds of a group."""
         if self._first_recorded_s is None:
             self._first_recorded_s = now_s
         self._sums[model] = self._decayed_sum(model, now_s) + work_s
         self._last_recorded_s[model] = now_s
 
     def offered(self, now_s: float) -> Mapping[ModelName, float]:
-        """Return the work that arrives for each model now."""
+        """Return the current rate of offered work for each model."""
         if self._first_recorded_s is None:
             return {}
         measured_s = max(MIN_MEASURED_S, now_s - self._first_recorded_s)
--- a/packages/ochreway-direct/src/ochreway_direct/dependencies.py
+++ b/packages/ochreway-direct/src/ochreway_direct/dependencies.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Telling in the log what this entry depends on, when it loses it and has it back."""
+"""Log events for the loss and recovery of what this entry depends on."""
 
 from collections.abc import Callable
 
@@ -10,7 +10,7 @@
 
 
 class Dependencies:
-    """Write a line when keys, the holder of the lease or this entry's part among others change."""
+    """Log changes of key trust, of the lease holder, of live entries and of this entry's role."""
 
     def __init__(
         self, serving: Serving, peers: Peers, head: Callable[[], bool], log: EventLog
@@ -25,7 +25,7 @@
         self._live_entries: frozenset[NodeId] = frozenset()
 
     def check(self, now_s: float) -> None:
-        """Compare what is so now with what was told last."""
+        """Log each difference between the current state and the last logged one."""
         self._check_keys(now_s)
         self._check_holder(now_s)
         self._check_entries(now_s)
@@ -49,7 +49,7 @@
             self._holder = node
 
     def _check_entries(self, now_s: float) -> None:
-        """Tell of entries that fell silent or are heard again, not of those never in touch."""
+        """Log entries that fell silent or are received again, but not those never expected."""
         live_now = frozenset(record.peer.node for record in self._peers.alive(now_s))
         silent = self._live_entries & self._peers.expected_nodes() - live_now
         if silent:
--- a/packages/ochreway-direct/src/ochreway_direct/earlylistener.py
+++ b/packages/ochreway-direct/src/ochreway_direct/earlylistener.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Taking callers' connections while the process still loads its code.
+"""Listener for callers that is opened before the process loads the rest of its code.
 
-Little but the standard library's ``socket`` is imported here, as this runs before all else.
+This module imports little more than ``socket``, as it runs before everything else.
 """
 
 import os
@@ -11,20 +11,20 @@
 
 ADDRESS_VARIABLE = "OCHREWAY_CALLER_LISTEN"
 BACKLOG = 1024
-"""How many connections may wait to be accepted: more than come in a second to one entry."""
+"""Maximum number of connections waiting to be accepted: more than an entry gets in a second."""
 
 PROCESS_START_S = steadyclock.now_s()
-"""When this process began to load its code, on the clock of its event loop."""
+"""Time at which this process began to load its code, on the clock of its event loop."""
 
 _open_sockets: dict[str, socket.socket] = {}
 
 
 def listen_early() -> None:
-    """Listen for callers at the address that the environment gives, if it does.
+    """Listen for callers at the address given by the environment, if any.
 
-    Callers that connect while the code is loaded wait for it. Otherwise every entry would turn
-    them away after all entries were killed at once. An address that cannot be bound is left to
-    the usual listener, which logs the cause.
+    Callers that connect while the code is loading wait in the backlog. Otherwise every entry would
+    refuse them after all entries were killed at once. An address that cannot be bound is left to
+    the regular listener, which logs the cause.
     """
     address = os.environ.get(ADDRESS_VARIABLE, "")
     host, _, port = address.rpartition(":")
@@ -43,12 +43,12 @@
 
 
 def claim_socket(address: str) -> socket.socket | None:
-    """Return the socket that listens at an address, if there is one; it is the caller's then."""
+    """Return the socket that listens at an address, if any, and hand over its ownership."""
     return _open_sockets.pop(address, None)
 
 
 def close_other_sockets(address: str) -> None:
-    """Close what listens at any other address than the one that is to be served."""
+    """Close the early sockets at all addresses except the one to be served."""
     for each in [known for known in _open_sockets if known != address]:
         _open_sockets.pop(each).close()
 
--- a/packages/ochreway-direct/src/ochreway_direct/enginestate.py
+++ b/packages/ochreway-direct/src/ochreway_direct/enginestate.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What an engine says of itself."""
+"""State that an engine reports."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,7 +9,7 @@
 
 
 class MemberPhase(Enum):
-    """Say how far an engine is with the group that it joined."""
+    """Phase of an engine's membership in the group that it joined."""
 
     JOINING = "joining"
     READY = "ready"
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """Name the group an engine is in, its rank there (0 leads) and its phase."""
+    """Hold the group that an engine belongs to, its rank there (0 leads) and its phase."""
 
     group: GroupId
     epoch: Epoch
@@ -30,10 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """Hold an engine's models, membership and load, and which life of it says so.
+    """Hold an engine's models, membership and load, and the start time of its process.
 
-    One that is ``leaving`` has said so in the answer that the rest is from, and so has one that
-    named a limit.
+    ``leaving`` and ``limit_per_s`` are what the engine announced in the same answer.
     """
 
     domain: DomainId
--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The process: the parts of a direct entry, and what passes between them."""
+"""The process of a direct entry: its parts and their connections."""
 
 import asyncio
 import random
@@ -76,19 +76,19 @@
 from ochreway_wire.links import Links, LinkSettings
 
 COUNTERS_LOG_INTERVAL_S = 5.0
-"""How often all counters are written to a log in detail."""
+"""How often all counters are written to the log in detail."""
 TICK_REST_FACTOR = 4.0
-"""How long after a step, as a multiple of what it took, the next one may begin.
+"""Minimum pause after a coordinator tick, as a multiple of its duration.
 
-So steps take a fifth of the processor at the most, and requests have the rest.
+Ticks thus take at most a fifth of the processor, and requests have the rest.
 """
 SUSPECT_SILENCE_S = 0.3
-"""For how long all answers of a group stand still before its members are asked at once."""
+"""How long all answers of a group have to stall before its members are probed at once."""
 SUSPECT_INTERVAL_S = 0.15
 
 
 class DirectEntry:
-    """Own what is known, and the tasks that learn and pass it on."""
+    """Own the state of the entry, and the tasks that update and publish it."""
 
     def __init__(
         self,
@@ -99,7 +99,7 @@
         metrics: Metrics,
         idle_limits: IdleLimits | None = None,
     ) -> None:
-        """Own the parts given; ``resting`` bounds idle connections to targets."""
+        """Set up all parts; ``idle_limits`` bounds idle connections to targets."""
         self.settings = settings
         self.log = log
         self.metrics = metrics
@@ -276,7 +276,7 @@
         )
 
     def _offered_by_entry(self, now_s: float) -> dict[NodeId, float]:
-        """Return what each entry in touch is asked for, in groups kept busy."""
+        """Return the work offered to each entry in contact, in fully busy groups."""
         own = sum(self.meter.offered(now_s).values())
         return {**self._heartbeats.remote_work.offered_by_source(), self.me.node: own}
 
@@ -288,7 +288,7 @@
         return task
 
     async def start(self) -> None:
-        """Listen for other entries and begin to learn."""
+        """Listen for other entries and start all tasks."""
         host, _, port = self.settings.link_listen.rpartition(":")
         await self.links.listen(host, int(port))
         timing = self._timing
@@ -312,24 +312,24 @@
         self.spawn(self._crash_keeper.run())
 
     async def stop(self) -> None:
-        """Give the lease back and end every task."""
+        """Release the lease and end every task."""
         await self.release_lease()
         await self.links.close()
         for task in list(self._tasks):
             task.cancel()
 
     async def release_lease(self) -> None:
-        """Let another entry take the lease at once, if this one holds it."""
+        """Release the lease, if held, so that another entry can acquire it at once."""
         if not await self.lease.release(self._loop.time()):
             self.log.event("lease_not_released", revision=self.lease.revision)
 
     def _log_counters(self) -> None:
-        """Write all counters in detail, as nobody may read them from a process that has ended."""
+        """Log all counters in detail, as they cannot be read once the process has ended."""
         counts = {name.replace(".", "_"): n for name, n in self.metrics.counters.items()}
         self.log.detail("counters", **counts)
 
     def gauges(self) -> dict[str, float]:
-        """Return what an operator's page shows of this entry now."""
+        """Return the gauges of this entry for the metrics page."""
         now_s = self._loop.time()
         return {
             "configuration_version": float(self.serving.version),
@@ -352,14 +352,14 @@
         }
 
     def _update_retry_budget(self) -> None:
-        """Take this entry's part of the repeats that all entries may make."""
+        """Set this entry's share of the retries that all entries may make."""
         entries = 1 + max(len(self.peers.all_peers()), len(self.settings.peer) - 1)
         self.retry_budget.max_balance = self.settings.retries_at_once / entries
 
-    # Groups.
+    # Group coordination.
 
     def _start_checks(self) -> dict[str, Callable[[float], bool]]:
-        """Return what this entry needs before it serves, and the holder of the lease."""
+        """Return checks of what this entry needs before it serves, and of the lease holder."""
         serving, view = self.serving, self.view
         return {
             "configuration": lambda _: serving.routes is not None,
@@ -375,20 +375,20 @@
             self.coordination.coordinator.on_pause()
         self._last_tick_s = now_s
         self._drains.tick(now_s)
-        # Every entry follows what is offered, as it may be the next to form groups.
+        # Every entry tracks the offered work, as it may be the next to form groups.
         if self.lease.held or self.settings.has(Mechanism.FOLLOWED_DEMAND):
             self._update_demand(now_s)
         if self.lease.held:
             self._tick_coordinator()
 
     def _schedule_coordinator_tick(self) -> None:
-        """Have the coordinator go on soon, as something that it waits for has come."""
+        """Schedule a coordinator tick soon, as an event that it waits for has occurred."""
         if not self._tick_planned:
             self._tick_planned = True
             self._loop.call_at(max(self._loop.time(), self._tick_due_s), self._tick_coordinator)
 
     def _tick_coordinator(self) -> None:
-        """Step the coordinator; on a large site steps take longer and come less often."""
+        """Run a coordinator tick; on a large site, ticks take longer and are less frequent."""
         self._tick_planned = False
         begun_s = self._loop.time()
         if not self.lease.held or begun_s < self._tick_due_s:
@@ -409,7 +409,7 @@
         self.coordination.coordinator.demand.update(offered, now_s)
 
     def suspect(self, group: GroupId) -> None:
-        """Have the members of a group asked at once, as its leader fell silent or broke off."""
+        """Have the members of a group probed at once, as its leader fell silent or disconnected."""
         now_s = self._loop.time()
         if now_s < self._suspected_until_s.get(group, now_s):
             return
@@ -434,7 +434,7 @@
 
     def _on_configuration_update(self, _: Peer, update: ConfigurationUpdate) -> None:
         if not self._drains.known:
-            # Its sender's heartbeats tell of the halls; this entry then asks for the version.
+            # The sender's heartbeats report the halls; this entry then requests the version.
             version = update.configuration.version
             self.metrics.count("configuration.without_halls")
             self.log.event("configuration_without_halls", version=version)
@@ -442,7 +442,7 @@
         self._configurations.apply(update.configuration)
 
     def _on_halls_changed(self) -> None:
-        """Have others hear at once that a hall is drained or given back, and groups planned."""
+        """Notify others at once that a hall is drained or restored, and plan groups anew."""
         self._heartbeats.send(self._loop.time())
         self._schedule_coordinator_tick()
 
--- a/packages/ochreway-direct/src/ochreway_direct/ids.py
+++ b/packages/ochreway-direct/src/ochreway_direct/ids.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Identifiers that only direct entries use."""
+"""Identifiers used only by direct entries."""
 
 from typing import NewType
 
--- a/packages/ochreway-direct/src/ochreway_direct/lastmodels.py
+++ b/packages/ochreway-direct/src/ochreway_direct/lastmodels.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which model each engine served last, as lists of targets showed it."""
+"""The model that each engine served last, according to the lists of targets."""
 
 from collections.abc import Iterable
 
@@ -9,20 +9,20 @@
 
 
 class LastModels:
-    """Remember what a new holder of the lease cannot ask for.
+    """Remember the last model of each engine, which a new lease holder cannot query.
 
-    An engine rejoins the model of its last group at once, whatever weights are staged beside it,
-    but once it has left the group nothing it reports names that model. A holder that does not know
-    it gives such engines to other models. Played in the laboratory with one change of the holder,
-    32 days each: 0.867 to 0.896 of a day's worth with two models of like work, 0.924 to 0.938 with
-    most work for one.
+    An engine can rejoin the model of its last group at once, whatever other weights are staged,
+    but once it has left the group its reports no longer name that model. A holder that does not
+    know it assigns such engines to other models. Simulated with one change of the holder, over 32
+    days each: 0.867 to 0.896 of a day's utility with two models of similar work, 0.924 to 0.938
+    with most work for one.
     """
 
     def __init__(self) -> None:
         self._models: dict[InstanceId, ModelName] = {}
 
     def record_targets(self, targets: Iterable[ListedTarget]) -> None:
-        """Take a list; an engine that is not on it any more is forgotten."""
+        """Update the models from a list; engines that are no longer listed are dropped."""
         models: dict[InstanceId, ModelName] = {}
         for target in targets:
             state = target.engine
@@ -34,7 +34,7 @@
         self._models = models
 
     def model_of(self, instance: InstanceId) -> ModelName | None:
-        """Return the model that an engine served last, if it is known."""
+        """Return the model that an engine served last, if known."""
         return self._models.get(instance)
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/lazymetricspage.py
+++ b/packages/ochreway-direct/src/ochreway_direct/lazymetricspage.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The page of counters, whose library is loaded when somebody first asks."""
+"""The metrics page, whose library is loaded on the first request."""
 
 import asyncio
 import importlib
@@ -13,11 +13,11 @@
     from ochreway_runtime.metricspage import Gauges, MetricsPage
 
 PAGE_MODULE = "ochreway_runtime.metricspage"
-"""It imports a large library, which callers would have to wait for after a restart."""
+"""Module that imports a large library, for which callers would have to wait after a restart."""
 
 
 class LazyMetricsPage:
-    """Answer with the counters; the first answer waits for the library, and nothing else does."""
+    """Serve the counters; only the first answer waits for the library."""
 
     def __init__(self, metrics: Metrics, gauges: "Gauges") -> None:
         self._metrics = metrics
@@ -25,7 +25,7 @@
         self._page: MetricsPage | None = None
 
     async def answer(self, _: web.BaseRequest) -> web.Response:
-        """Return the page."""
+        """Return the metrics page."""
         module = await asyncio.to_thread(importlib.import_module, PAGE_MODULE)
         if self._page is None:
             self._page = module.MetricsPage(self._metrics, self._gauges)
--- a/packages/ochreway-direct/src/ochreway_direct/main.py
+++ b/packages/ochreway-direct/src/ochreway_direct/main.py
@@ -38,57 +38,61 @@
 EXIT_LISTEN = 4
 STOP_POLL_S = 0.1
 GRACE_SHARE = 0.85
-"""The share of the grace in which requests may end; closing what is left takes up to 0.8 s."""
+"""Share of the grace period in which requests may end; closing the rest takes up to 0.8 s."""
 LINGER_S = 2.8
-"""For how long a stopping entry takes requests on, as connections still come and are still open."""
+"""How long a stopping entry accepts requests, as new and open connections still bring some."""
 
 
 @click.command()
 @option("--name", "", "Name of this instance.")
 @option("--hall", "hall-1", "Data hall of this instance.")
-@option("--adapter", "", "Module that adapts to the platform, and registers its name.")
+@option("--adapter", "", "Platform adapter module, which registers itself under its name.")
 @option("--caller-listen", "127.0.0.1:7480", "host:port for callers.")
-@option("--ready-listen", "127.0.0.1:7481", "host:port for the question whether it is ready.")
-@option("--link-listen", "127.0.0.1:7400", "host:port for links of other entries.")
+@option("--ready-listen", "127.0.0.1:7481", "host:port for readiness checks.")
+@option("--link-listen", "127.0.0.1:7400", "host:port for links from other entries.")
 @option("--platform-url", "http://127.0.0.1:7000", "Base URL of the platform's services.")
-@option("--peer", "", "host:port of other entries' links, with commas between.")
-@option("--link-key", "", "Key that every process of the system shares (secret).")
+@option("--peer", "", "Comma-separated host:port of other entries' links.")
+@option("--link-key", "", "Key shared by all processes of the system (secret).")
 @option("--statsd", "", "host:port of a statsd server; empty for none.")
 @option("--metrics-listen", "", "host:port for the counters as text; empty for none.")
 @option("--log-level", "info", "debug, info, warning or error.")
-@option("--key-revoke-ms", 5000, "How soon a key that was taken away may not be used any more.")
+@option("--key-revoke-ms", 5000, "Time within which a revoked key must no longer be accepted.")
 @option(
     "--keys-fail-closed",
     True,
-    "Refuse keys while no proof shows that the configuration is the newest.",
+    "Refuse keys without a recent proof that the configuration is the newest.",
     type=bool,
 )
-@option("--drain-ms", 2000, "How long a target serves on after it was listed as leaving.")
-@option("--retry-ratio", 0.2, "Bound on repeats, as a share of requests.")
-@option("--retry-slack", 200.0, "Bound on repeats beyond that share, over all entries.")
+@option("--drain-ms", 2000, "How long a target still serves after it was listed as leaving.")
+@option("--retry-ratio", 0.2, "Bound on retries, as a share of requests.")
+@option("--retry-slack", 200.0, "Bound on retries beyond that share, over all entries.")
 @option("--grace-s", 8.0, "How long a planned stop may take.")
-@option("--loads-window-s", 5.0, "Window in which loads of weights are bounded.")
-@option("--loads-excess", 1.1, "Share of the configured rate of loads that a window may have.")
+@option("--loads-window-s", 5.0, "Window in which the number of weight loads is bounded.")
+@option(
+    "--loads-excess", 1.1, "Bound on weight loads in a window, relative to the configured rate."
+)
 @option(
     "--first-start",
     False,
-    "This is the first start of the whole site: loads are not bounded before the first request.",
+    "First start of the whole site: weight loads are not bounded before the first request.",
     type=bool,
 )
 @option("--processor-share", 1.0, "Share of a core that this process may use.")
-@option("--processor-speed", 1.0, "How fast that core is, against a usual one.")
-@option("--hall-drain-ms", 5000, "How soon a hall that is drained gets nothing new.")
-@option("--cold-excess", 1.0, "What a cold target may get, against its configured rate.")
-@option("--cold-slack", 0.0, "How many requests more a cold target may get in any second.")
+@option("--processor-speed", 1.0, "Speed of that core, relative to a usual one.")
+@option("--hall-drain-ms", 5000, "Time within which a drained hall gets no new requests.")
+@option(
+    "--cold-excess", 1.0, "Bound on requests to a cold target, relative to its configured rate."
+)
+@option("--cold-slack", 0.0, "Additional requests that a cold target may get in any second.")
 @option("--region", "", "Region of this instance; empty where regions do not matter.")
-@option("--hall-regions", "", "hall=region of every hall, with commas between.")
-@option("--descriptors", 0, "How many files and sockets this process may have open; 0: any.")
-@option("--memory-mb", 0.0, "How much memory this process may take; 0: any.")
-@option("--link-mbps", 0.0, "What this instance's link carries; 0: not known.")
-@option("--without", "", "Mechanisms to switch off, with commas between; for measurements.")
+@option("--hall-regions", "", "Comma-separated hall=region pairs of all halls.")
+@option("--descriptors", 0, "Maximum number of open files and sockets; 0: unbounded.")
+@option("--memory-mb", 0.0, "Maximum memory of this process; 0: unbounded.")
+@option("--link-mbps", 0.0, "Bandwidth of this instance's link; 0: unknown.")
+@option("--without", "", "Comma-separated mechanisms to disable; for measurements.")
 @click.option("--check", "only_check", is_flag=True, help="Print the settings and stop.")
 def main(only_check: bool, **given: Any) -> None:
-    """Take callers' requests and send them straight to targets."""
+    """Accept callers' requests and send them directly to targets."""
     for name in ("peer", "without", "hall_regions"):
         given[name] = tuple(each for each in given[name].split(",") if each)
     settings = DirectSettings(**given)
@@ -105,7 +109,7 @@
 
 
 async def run(settings: DirectSettings) -> int:
-    """Run until a signal asks to stop."""
+    """Run until a signal requests a stop; return the exit code."""
     earlylistener.close_other_sockets(settings.caller_listen)
     log = EventLog("entry", settings.name, settings.log_level)
     metrics = Metrics(settings.statsd, "entry")
@@ -164,7 +168,7 @@
 
 
 async def _drain(entry: DirectEntry, relay: Relay) -> None:
-    """Serve on until nothing is under way, within the grace that a stop has."""
+    """Keep serving until no request is under way, within the grace period of a stop."""
     loop = asyncio.get_running_loop()
     begun_s = loop.time()
     entry.serving.stopping = True
@@ -201,7 +205,7 @@
     metrics: Metrics,
     connections: TargetConnections,
 ) -> web.ServerRunner | None:
-    """Serve the counters as text at any path, if an address for them is set."""
+    """Serve the counters as text at any path, if an address is configured."""
     if not settings.metrics_listen:
         return None
 
--- a/packages/ochreway-direct/src/ochreway_direct/mechanism.py
+++ b/packages/ochreway-direct/src/ochreway_direct/mechanism.py
@@ -1,32 +1,32 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The mechanisms of a direct entry that can be switched off, to measure what each is worth."""
+"""Optional mechanisms of a direct entry, which can be disabled to measure their benefit."""
 
 from enum import Enum
 
 
 class Mechanism(Enum):
-    """Name a mechanism; each is in force unless a setting switches it off."""
+    """Name a mechanism; each is enabled unless a setting disables it."""
 
     UNREAD_PROMPTS = "unread-prompts"
-    """Choose groups by the prompts that they have yet to read, not only by their requests."""
+    """Choose groups by their unread prompt tokens, not only by their number of requests."""
     SAMPLED_CHOICE = "sampled-choice"
-    """Choose the best of a few groups drawn at random, not of all."""
+    """Choose the best of a few randomly sampled groups instead of all."""
     FOLLOWED_DEMAND = "followed-demand"
-    """Follow what is offered on every entry, not only on the holder of the lease."""
+    """Track the offered work on every entry, not only on the lease holder."""
     SPANNING_GROUPS = "spanning-groups"
-    """Form groups across domains while none can be completed inside one."""
+    """Form groups across domains while none can be completed within one."""
     TRADING = "trading"
-    """Give up groups whose engines complete one that is wanted more."""
+    """Dissolve groups whose engines can complete a group with a higher utility."""
     SWAPPING = "swapping"
-    """Form a group anew without members that have turned slow."""
+    """Re-form a group without members that have become slow."""
     STAGING_BESIDE = "staging-beside"
-    """Load other models' weights beside those of groups that are wanted."""
+    """Load weights of other models in addition to those of the wanted groups."""
     FATAL_REFUSED = "fatal-refused"
-    """Send a request no more under which three targets have ended."""
+    """Stop sending a request during which three targets have ended."""
     LIMITS_KEPT = "limits-kept"
-    """Send targets that name a limit no more than that, all entries together."""
+    """Keep the limits that targets announce, across all entries together."""
     SILENCE_SUSPECTED = "silence-suspected"
-    """Have a group's members asked at once when all its answers stand still."""
+    """Probe a group's members at once when all its answers stall."""
 
 
 __all__ = ["Mechanism"]
--- a/packages/ochreway-direct/src/ochreway_direct/messages.py
+++ b/packages/ochreway-direct/src/ochreway_direct/messages.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseSighting:
-    """Name the holder of the lease, and how long ago it said so."""
+    """Identify the holder of the lease, and how long ago its claim was last received."""
 
     peer: Peer
     revision: int
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetMark:
-    """Name a view of the fleet, and how long ago its holder stood by it.
+    """Identify a version of the fleet view, and how long ago its publisher last confirmed it.
 
     ``listed_age_s`` is the age of the list of targets, or None before it was read.
     """
@@ -42,14 +42,17 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainNews:
-    """Tell which halls are drained, and how long ago a reading without each was last asked for."""
+    """Report the drained halls.
+
+    ``unseen_age_s`` is, for each, how long ago the poll of the last reading without it was sent.
+    """
 
     drained: DrainedHalls = UNREAD_HALLS
     unseen_age_s: dict[HallId, float] = field(default_factory=dict)
 
 
 def aged(mark: FleetMark, by_s: float) -> FleetMark:
-    """Return a mark that is older by a time."""
+    """Return a mark whose ages are increased by ``by_s``."""
     listed_age_s = mark.listed_age_s + by_s if mark.listed_age_s is not None else None
     return replace(mark, age_s=mark.age_s + by_s, listed_age_s=listed_age_s)
 
@@ -57,14 +60,14 @@
 @message(100)
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Tell another entry what this one knows and does.
-
-    ``echo_s`` returns the newest ``sent_s`` that came from the receiver, on its own clock, so
-    whatever is said here was known no earlier than then. ``proof_age_s`` is the age of the
-    sender's proof that its configuration is the newest. ``wanted`` asks for heartbeats in return.
-    ``coverage`` says whose ``work`` is counted, ``cell`` the sender's own. ``entries`` names some
-    of those that the sender knows; others come later. ``loan`` is what the receiver is lent,
-    ``pool`` tells of limits that targets named and how they are divided.
+    """Report the sender's state and work to another entry.
+
+    ``echo_s`` returns the newest ``sent_s`` received from the receiver, on the receiver's clock, so
+    the contents are no older than that. ``proof_age_s`` is the age of the sender's proof that its
+    configuration is the newest. ``wanted`` requests heartbeats in return. ``coverage`` defines
+    whose ``work`` is reported, and ``cell`` is the sender's cell. ``entries`` names some of the
+    entries that the sender knows; the others follow in later heartbeats. ``loan`` is what the
+    receiver is lent, and ``pool`` reports the limits that targets announced and their division.
     """
 
     incarnation: str
@@ -90,10 +93,11 @@
 @message(101)
 @dataclass(frozen=True, slots=True)
 class FleetUpdate:
-    """Tell other entries which groups serve, which plain targets there are, and who leaves.
+    """Publish the serving groups, the plain targets and the leaving instances.
 
-    A newer lease goes before an older one, and a later update of the same lease before an
-    earlier one. ``listed_age_s`` is the age of the list of targets, or None before it was read.
+    An update of a newer lease takes precedence over one of an older lease, and a later update of
+    the same lease over an earlier one. ``listed_age_s`` is the age of the list of targets, or None
+    before it was read.
     """
 
     lease_revision: int
@@ -108,9 +112,9 @@
 @message(106)
 @dataclass(frozen=True, slots=True)
 class FleetChange:
-    """Tell what is different from the update or change before it, of the same lease.
+    """Publish the differences from the previous update or change of the same lease.
 
-    ``groups`` holds new groups and changed ones, ``gone`` those that serve no more.
+    ``groups`` holds new and changed groups, ``gone`` those that no longer serve.
     """
 
     lease_revision: int
@@ -126,13 +130,13 @@
 @message(107)
 @dataclass(frozen=True, slots=True)
 class FleetRequest:
-    """Ask for the view of the fleet, as the sender's own is older or lacks a change."""
+    """Request the full view of the fleet, as the sender's own is older or misses a change."""
 
 
 @message(102)
 @dataclass(frozen=True, slots=True)
 class ConfigurationRequest:
-    """Ask for the configuration when it is newer than a version."""
+    """Request the configuration if it is newer than a version."""
 
     than: Version
 
@@ -140,7 +144,7 @@
 @message(103)
 @dataclass(frozen=True, slots=True)
 class ConfigurationUpdate:
-    """Hand over the configuration in force."""
+    """Send the configuration in force."""
 
     configuration: Configuration
 
@@ -148,7 +152,7 @@
 @message(104)
 @dataclass(frozen=True, slots=True)
 class Suspicion:
-    """Tell the holder of the lease that a group's leader fell silent under requests."""
+    """Notify the lease holder that a group's leader fell silent with open requests."""
 
     group: GroupId
 
@@ -156,7 +160,7 @@
 @message(105)
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """Hand the platform's list to a holder of the lease that cannot read it."""
+    """Send the platform's list to a lease holder, or to entries that may become it."""
 
     targets: tuple[ListedTarget, ...]
     age_s: float
--- a/packages/ochreway-direct/src/ochreway_direct/noticewatch.py
+++ b/packages/ochreway-direct/src/ochreway_direct/noticewatch.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Obeying what targets say of themselves in their answers, and telling operators."""
+"""Processing of the notices in targets' answers: backoffs, announced leaves and limits."""
 
 import asyncio
 from dataclasses import dataclass
@@ -13,11 +13,11 @@
 from ochreway_runtime.metrics import Metrics
 
 USE_LOG_INTERVAL_S = 5.0
-"""How often a log tells at the most what one target with a limit got from this entry."""
+"""Minimum time between two log lines on this entry's use of a target's limit."""
 QUERY_INTERVAL_S = 10.0
-"""How often an engine with a limit is asked for its state: a question may count as a request."""
+"""How often an engine with a limit is queried for its state, as a query may count as a request."""
 URGENT_QUERY_INTERVAL_S = 2.0
-"""How often while something is awaited of it, such as its part in a group that changes."""
+"""How often while a change of its state is awaited, such as joining a group."""
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
 
 
 class NoticeWatch:
-    """Take the notices of all answers that this entry gets: to requests, questions and orders."""
+    """Process the notices of all answers to this entry: to requests, queries and orders."""
 
     def __init__(
         self, backoffs: Backoffs, limits: TargetLimits, log: EventLog, metrics: Metrics
@@ -44,7 +44,7 @@
     def on_notice(
         self, instance: InstanceId, notice: TargetNotice, born_ms: int | None = None
     ) -> None:
-        """Take what an answer says of the target that gave it."""
+        """Apply the backoff or leave that an answer announces."""
         if notice.backoff_s is not None:
             self._metrics.count("notice.backoff")
         if notice.leaving:
@@ -63,14 +63,14 @@
     def on_answer(
         self, instance: InstanceId, notice: TargetNotice, born_ms: int | None = None
     ) -> None:
-        """Take what the answer to a request says; one that names no limit says that it is over."""
+        """Apply the notice of the answer to a request; without a limit, a former one has ended."""
         self.on_notice(instance, notice, born_ms)
         self._update_limit(instance, notice.limit_per_s, born_ms)
 
     def on_reported_limit(
         self, instance: InstanceId, limit_per_s: float, born_ms: int | None
     ) -> None:
-        """Take a limit that an engine named in a report; one without says nothing of it."""
+        """Apply a limit in an engine's report; a report without one does not end a limit."""
         self._metrics.count("notice.limit")
         self._update_limit(instance, limit_per_s, born_ms)
 
@@ -86,7 +86,7 @@
         self._count_answer(instance, limit_per_s, now_s)
 
     def _count_answer(self, instance: InstanceId, limit_per_s: float | None, now_s: float) -> None:
-        """Count the answers of targets with a limit, and tell now and then how many came."""
+        """Count the answers of a target with a limit, and log their number at intervals."""
         if limit_per_s is None:
             self._limit_use.pop(instance, None)
             return
@@ -105,11 +105,11 @@
         self._limit_use[instance] = LimitUse(now_s)
 
     def wait_s(self, instance: InstanceId, born_ms: int | None = None) -> float:
-        """Return for how long a target is to get nothing; infinite if it leaves."""
+        """Return how long a target must get no requests; infinite if it leaves."""
         return self._backoffs.wait_s(instance, asyncio.get_running_loop().time(), born_ms)
 
     def may_query(self, instance: InstanceId, born_ms: int | None, urgent: bool) -> bool:
-        """Tell whether an engine may be asked for its state now, which it then is."""
+        """Return whether an engine may be queried for its state now, and record the query."""
         if self.backed_off(instance, born_ms):
             return False
         if self._limits.limit_per_s(instance, born_ms) is None:
@@ -124,14 +124,14 @@
         return True
 
     def backed_off(self, instance: InstanceId, born_ms: int | None = None) -> bool:
-        """Tell whether an engine is to be given neither orders nor questions now.
+        """Return whether an engine must get neither orders nor queries now.
 
-        One that leaves is still asked and ordered, as its group has to be closed.
+        One that leaves still gets both, as its group has to be closed.
         """
         return self._backoffs.backed_off(instance, asyncio.get_running_loop().time(), born_ms)
 
     def gauges(self) -> dict[str, float]:
-        """Return how many targets are left alone, and how many have said that they leave."""
+        """Return the number of targets in backoff and of those that announced that they leave."""
         return {
             "targets_backed_off": float(
                 self._backoffs.number_backed_off(asyncio.get_running_loop().time())
@@ -141,7 +141,7 @@
 
 
 def _drop_oldest(states: dict[InstanceId, Any]) -> None:
-    """Forget what was noted first of more targets than are kept."""
+    """Drop the oldest entry if there are more than ``MAX_TARGETS``."""
     if len(states) > MAX_TARGETS:
         del states[next(iter(states))]
 
--- a/packages/ochreway-direct/src/ochreway_direct/order.py
+++ b/packages/ochreway-direct/src/ochreway_direct/order.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Orders to engines, and what becomes of one."""
+"""Orders to engines, and their outcomes."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Open:
-    """Let a group's leader take requests."""
+    """Let a group's leader accept requests."""
 
     group: GroupId
     epoch: Epoch
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """Let a group's leader finish what it has and take nothing more."""
+    """Let a group's leader finish its requests and accept no more."""
 
     group: GroupId
     epoch: Epoch
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """Take an engine out of its group at once."""
+    """Remove an engine from its group at once."""
 
     group: GroupId
     epoch: Epoch
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """Load a model's weights onto an engine's host, beside what it serves."""
+    """Load a model's weights onto an engine's host, in addition to what it serves."""
 
     model: ModelName
 
@@ -53,7 +53,7 @@
 
 
 class OrderOutcome(Enum):
-    """Say what became of an order; of an unknown one, nobody knows whether it was taken."""
+    """Outcome of an order; ``UNKNOWN`` means that it may or may not have been accepted."""
 
     BEGUN = "begun"
     HOLDS = "holds"
@@ -63,7 +63,7 @@
     INVALID = "invalid"
     UNREACHABLE = "unreachable"
     TURNED_AWAY = "turned_away"
-    """The engine did not take it, and asked to be left alone for a while."""
+    """The engine rejected the order and requested a backoff."""
     UNKNOWN = "unknown"
 
 
--- a/packages/ochreway-direct/src/ochreway_direct/planlog.py
+++ b/packages/ochreway-direct/src/ochreway_direct/planlog.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Telling what the holder of the lease plans, whenever that has changed."""
+"""Log events for the plan of the lease holder when it changes."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -10,11 +10,11 @@
 from ochreway_runtime.logs import EventLog
 
 MIN_LOG_GAP_S = 0.5
-"""The least time between two lines of a service."""
+"""Minimum time between two log lines of a service."""
 MIN_DEMAND_CHANGE = 0.5
-"""By how many groups' work a need has to change to be told."""
+"""Minimum change of a model's demand that is logged, in groups."""
 MIN_DEMAND_CHANGE_SHARE = 0.15
-"""The same as a share of the need, where that is more."""
+"""Minimum change as a share of the demand, where that is larger."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,23 +25,23 @@
 
 
 class PlanLog:
-    """Write a line when needs, groups wanted or standing, or loads under way have changed."""
+    """Log the plan when demand, wanted or existing groups, or loads under way have changed."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
         self._last_logged: dict[ServiceName, _LoggedPlan] = {}
 
     def reset(self) -> None:
-        """Have the next plan told whatever was told before."""
+        """Log the next plan in any case."""
         self._last_logged.clear()
 
     def due(self, service: ServiceName, now_s: float) -> bool:
-        """Tell whether a line of a service may be written again."""
+        """Return whether a line for a service may be logged again."""
         logged = self._last_logged.get(service)
         return logged is None or now_s - logged.at_s >= MIN_LOG_GAP_S
 
     def log_plan(self, service: ServiceName, plan: PlanSummary, loading: int, now_s: float) -> None:
-        """Write the line of a service if it may be written and anything has changed."""
+        """Log the plan of a service if a line is due and the plan has changed."""
         if not self.due(service, now_s):
             return
         logged = self._last_logged.get(service)
@@ -60,7 +60,7 @@
 
 
 def slots_text(slots: Mapping[Slot, int]) -> str:
-    """Return numbers of groups by place, in one word."""
+    """Return the numbers of groups by model and domain as a single string."""
     return ",".join(
         f"{slot.model}@{slot.domain}:{number}"
         for slot, number in sorted(slots.items(), key=lambda each: (each[0].domain, each[0].model))
--- a/packages/ochreway-direct/src/ochreway_direct/platformhealth.py
+++ b/packages/ochreway-direct/src/ochreway_direct/platformhealth.py
@@ -1,13 +1,13 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Since when the platform's store has been answering this entry."""
+"""Availability of the platform's store, as seen by this entry."""
 
 NEVER_S = -1.0e9
 MIN_OUTAGE_S = 0.4
-"""How long answers have to be missing to count as an outage; one reset connection takes less."""
+"""Minimum time without answers that counts as an outage; a single reset connection takes less."""
 
 
 class PlatformHealth:
-    """Note answers and failures of the store, and when the last outage ended."""
+    """Track answers and failures of the store, and when the last outage ended."""
 
     def __init__(self) -> None:
         self._failing_since_s: float | None = None
@@ -15,16 +15,16 @@
 
     @property
     def failing(self) -> bool:
-        """Tell whether the newest call failed."""
+        """Return whether the latest call failed."""
         return self._failing_since_s is not None
 
     def on_failure(self, due_s: float) -> None:
-        """Note a call that failed; its answer was due at a time."""
+        """Record a failed call, whose answer was due at ``due_s``."""
         if self._failing_since_s is None:
             self._failing_since_s = due_s
 
     def on_answer(self, polled_s: float, now_s: float) -> None:
-        """Note an answer; it ends an outage only if it was asked for after that began."""
+        """Record an answer; it ends an outage only if its call began after the outage did."""
         since_s = self._failing_since_s
         if since_s is None or polled_s < since_s:
             return
--- a/packages/ochreway-direct/src/ochreway_direct/serving.py
+++ b/packages/ochreway-direct/src/ochreway_direct/serving.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What an entry serves by: the configuration in force, its freshness, and the fleet."""
+"""Serving state of an entry: the configuration in force, its freshness, and the fleet."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -14,22 +14,22 @@
 from ochreway_runtime.looplag import LoopLag
 
 MAX_PROOF_WAIT_S = 0.25
-"""How long a call waits for a proof that only this process's own stall has delayed.
+"""Maximum time that a call waits for a freshness proof delayed by this process's own stall.
 
-A question to the store is answered in some 5 ms, and the first one after a stall is asked at once.
+The store answers a poll in some 5 ms, and the first one after a stall is sent at once.
 """
 PROOF_POLL_INTERVAL_S = 0.01
 
 
 @dataclass(slots=True)
 class Serving:
-    """Hold the newest configuration that was learned; it never goes back.
+    """Hold the newest known configuration, whose version never decreases, and the serving state.
 
-    A process that is ``stopping`` still takes requests for a while; once ``closed`` it takes none.
-    ``sent_bytes`` counts what went to callers and targets, ``asked`` the requests admitted and
-    ``proofs_awaited`` the times that one waited for a proof of the configuration. While
-    the instance is ``short_of`` something, new callers are to go elsewhere. ``lag`` tells for how
-    long this process itself stood still.
+    A process that is ``stopping`` still accepts requests for a while; once ``closed`` it accepts
+    none. ``sent_bytes`` counts what was sent to callers and targets, ``admitted`` the admitted
+    requests, and ``proofs_awaited`` how often one waited for a proof of the configuration. While
+    there are ``short_resources``, new callers should use other entries. ``lag`` measures the
+    stalls of this process.
     """
 
     fleet: Fleet
@@ -61,7 +61,7 @@
 
     @property
     def has_engines(self) -> bool:
-        """Tell whether groups of engines are needed to serve, as far as is known."""
+        """Return whether groups of engines are needed to serve, or this is not known yet."""
         return self.routes is None or any(each.engine for each in self.services)
 
     def apply(self, configuration: Configuration) -> bool:
@@ -72,13 +72,13 @@
         return True
 
     def keys_trusted(self) -> bool:
-        """Tell whether known keys may be let in now."""
+        """Return whether known keys may be accepted now."""
         return self.freshness.keys_trusted(asyncio.get_running_loop().time())
 
     async def wait_for_trusted_keys(self) -> bool:
-        """Tell whether known keys may be let in, once a proof that an own stall delays has come.
+        """Return whether known keys may be accepted, after waiting for a proof delayed by a stall.
 
-        Refused at once, callers would bear the delay of an entry that can serve them in a moment.
+        Without the wait, callers would be refused by an entry that can serve them in a moment.
         """
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + MAX_PROOF_WAIT_S
@@ -91,18 +91,18 @@
         return trusted
 
     def _stall_explains_age(self, now_s: float) -> bool:
-        """Tell whether the proof would be new enough, had this process not stood still since."""
+        """Return whether the proof would be recent enough without this process's stalls since."""
         if self.lag is None:
             return False
         stalled_s = self.lag.since(self.freshness.proved_s, now_s)
         return self.freshness.proved(now_s - stalled_s)
 
     def proved(self) -> bool:
-        """Tell whether the configuration is known to have been the newest lately."""
+        """Return whether the configuration was recently proved to be the newest."""
         return self.freshness.proved(asyncio.get_running_loop().time())
 
     def ready(self, now_s: float) -> bool:
-        """Tell whether new connections are wanted."""
+        """Return whether new connections should be sent to this entry."""
         known = self.routes is not None and self.freshness.keys_trusted(now_s)
         return known and not self.stopping and not self.short_resources
 
--- a/packages/ochreway-direct/src/ochreway_direct/settings.py
+++ b/packages/ochreway-direct/src/ochreway_direct/settings.py
@@ -9,14 +9,14 @@
 from ochreway_runtime import checks
 
 KEY_TRUST_SHARE = 0.9
-"""The share of the time allowed for taking a key away in which it is still trusted unproved."""
+"""Share of the time allowed for revoking a key in which keys are trusted without a new proof."""
 LIST_TRUST_SHARE = 0.7
-"""The share of the time that a leaving target serves on for which a list is gone by.
+"""Share of a leaving target's drain time for which a list is used.
 
-The rest is for reading a newer one and for requests on their way.
+The rest is for reading a newer list and for requests on their way.
 """
 RETRY_SHARE = 0.75
-"""The share of the bound on repeats that entries use, as each knows only its own."""
+"""Share of the bound on retries that entries use, as each knows only its own."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,22 +57,22 @@
     without: tuple[str, ...] = ()
 
     def has(self, mechanism: Mechanism) -> bool:
-        """Tell whether a mechanism is in force."""
+        """Return whether a mechanism is enabled."""
         return mechanism.value not in self.without
 
     @property
     def strength(self) -> float:
-        """Return how much this entry can do, in cores of usual speed."""
+        """Return the processor capacity of this entry, in cores of usual speed."""
         return self.processor_share * self.processor_speed
 
     @property
     def hall_drain_s(self) -> float:
-        """Return how soon after its drain was accepted a hall gets nothing new."""
+        """Return how soon after its drain was accepted a hall must get no new requests."""
         return self.hall_drain_ms / 1000.0
 
     @property
     def region_of(self) -> dict[HallId, RegionId]:
-        """Return the region of each hall that is known."""
+        """Return the region of each hall whose region is known."""
         pairs = (each.partition("=") for each in self.hall_regions)
         known = {HallId(hall): RegionId(region) for hall, _, region in pairs}
         if self.region:
@@ -81,34 +81,34 @@
 
     @property
     def key_trust_s(self) -> float:
-        """Return for how long keys are trusted without proof that they are the newest."""
+        """Return how long keys are trusted after a proof that the configuration is the newest."""
         return self.key_revoke_ms / 1000.0 * KEY_TRUST_SHARE
 
     @property
     def key_trust(self) -> KeyTrust:
-        """Return what becomes of keys while the configuration is not proved the newest."""
+        """Return how keys are treated while the configuration is not proved to be the newest."""
         return KeyTrust.WHILE_PROVED if self.keys_fail_closed else KeyTrust.LAST_KNOWN
 
     @property
     def list_trust_s(self) -> float:
-        """Return how old a list of targets may be that requests are sent by."""
+        """Return the maximum age of a list of targets that requests are routed by."""
         return self.drain_ms / 1000.0 * LIST_TRUST_SHARE
 
     @property
     def retries_per_request(self) -> float:
-        """Return how many repeats a request earns."""
+        """Return the number of retries that a request adds to the budget."""
         return self.retry_ratio * RETRY_SHARE
 
     @property
     def retries_at_once(self) -> float:
-        """Return how many repeats all entries together may have made beyond what was earned."""
+        """Return the number of retries that all entries together may make beyond that share."""
         return self.retry_slack * RETRY_SHARE
 
 
 def _check_peers(values: tuple[str, ...]) -> str | None:
     if all(checks.address(value) is None for value in values):
         return None
-    return "host:port of other entries' links, with commas between"
+    return "comma-separated host:port of other entries' links"
 
 
 def _check_hall_regions(values: tuple[str, ...]) -> str | None:
@@ -116,7 +116,7 @@
     halls_unique = len({hall for hall, _, _ in pairs}) == len(pairs)
     if halls_unique and all(hall and region for hall, _, region in pairs):
         return None
-    return "hall=region pairs, each hall once, with commas between"
+    return "comma-separated hall=region pairs, each hall once"
 
 
 def _check_mechanisms(values: tuple[str, ...]) -> str | None:
--- a/packages/ochreway-direct/src/ochreway_direct/startsteps.py
+++ b/packages/ochreway-direct/src/ochreway_direct/startsteps.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How long each step takes from the set-up of an entry, once its code is loaded."""
+"""Timing of the steps of an entry's start, once its code is loaded."""
 
 from collections.abc import Callable, Mapping
 
@@ -9,7 +9,7 @@
 
 
 class StartSteps:
-    """Write one line once every step was reached, with the ms that each took since set-up."""
+    """Log the time of each step since set-up, in ms, once all steps were reached."""
 
     def __init__(self, steps: Mapping[str, StepCheck], began_s: float, log: EventLog) -> None:
         self._steps = dict(steps)
@@ -18,7 +18,7 @@
         self._reached_ms: dict[str, int] = {}
 
     def check(self, now_s: float) -> None:
-        """Note which steps were reached by now."""
+        """Record the steps that were reached by now."""
         if not self._steps:
             return
         for name, reached in list(self._steps.items()):
--- a/packages/ochreway-direct/src/ochreway_direct/timing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/timing.py
@@ -1,23 +1,23 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The durations that direct entries work by."""
+"""Intervals and timeouts of direct entries."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class DirectTiming:
-    """Hold every duration of the parts that run beside the relay.
-
-    Where entries stand in cells, a few keep questions of ``configuration_read_wait_s`` open for
-    all; the others ask only once their newest proof is ``configuration_follow_s`` old, or
-    a newer version was heard of, which they look for each ``configuration_follow_gap_s``. A proof
-    is up to twice the question's time old at the reader and a second more where it is passed on.
-
-    ``configuration_wait_s`` is how long one question for a newer configuration stays open; two of
-    them have to fit into the time for which keys are trusted. After a version that took long to
-    decode and apply, the next is asked for only after ``configuration_rest_share`` times as long,
-    at most ``configuration_rest_s``, so that versions in quick succession leave most of the
-    processor to requests; what is overtaken meanwhile is never decoded.
+    """Hold the intervals and timeouts of all parts except the relay.
+
+    Where entries form cells, a few readers keep polls of ``configuration_read_wait_s`` open for
+    all. The others poll only once their newest proof is ``configuration_max_proof_age_s`` old, or
+    a newer version was announced, which they check every ``configuration_check_interval_s``. A
+    proof is up to two polls old at the reader, and a second older where it is forwarded to.
+
+    ``configuration_wait_s`` is how long one poll for a newer configuration stays open; two of them
+    have to fit into the time for which keys are trusted. After a version that took long to decode
+    and apply, the next poll follows after ``configuration_rest_share`` times as long, at most
+    ``configuration_rest_s``, so that versions in quick succession leave most of the processor to
+    requests; versions that are superseded meanwhile are never decoded.
     """
 
     tick_s: float = 0.05
--- a/packages/ochreway-direct/src/ochreway_direct/work.py
+++ b/packages/ochreway-direct/src/ochreway_direct/work.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What entries have under way, and sums of it."""
+"""Work of entries, and sums and differences of it."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """Count requests and prompt tokens not read yet at each place, and the work that arrives.
+    """Hold the requests under way and unread prompt tokens at each target, and the offered work.
 
-    ``offered`` is in groups kept busy, for each model.
+    ``offered`` is the rate of arriving work for each model, in fully busy groups.
     """
 
     under_way: dict[str, int] = field(default_factory=dict)
@@ -37,7 +37,7 @@
 
 
 def subtract_work(work: Work, part: Work) -> Work:
-    """Return what is left of a sum without a part of it."""
+    """Return a sum reduced by a part of it, with no count below zero."""
     offered = {m: max(0.0, rate - part.offered.get(m, 0.0)) for m, rate in work.offered.items()}
     return Work(
         dict(Counter(work.under_way) - Counter(part.under_way)),
--- a/tests/direct/test_demandmeter.py
+++ b/tests/direct/test_demandmeter.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The pattern: requests begin all at once, most of them for one model of two.
+"""Load that starts at once, most of it for one of two models.
 
-79 of 91 streams a second are for a small model and 12 for a large one, as a customer's sheet says
-of its work after it shifted; its configuration still gives both models the same share.
+Of 91 streams a second, 79 are for a small model and 12 for a large one, while the configuration
+still gives both models the same share. These are the numbers of a user's site after its work
+shifted.
 """
 
 import random
@@ -20,7 +21,7 @@
 
 
 def simulate_arrivals(meter: DemandMeter, seed: int, duration_s: float) -> None:
-    """Let requests arrive at random from time 0 on."""
+    """Record random arrivals of requests from time 0 on."""
     rng = random.Random(seed)
     for model, rate in PER_S.items():
         at_s = rng.expovariate(rate)
--- a/tests/direct/test_imports.py
+++ b/tests/direct/test_imports.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What an entry does not load at its start, as callers wait for that after all were killed."""
+"""Modules that an entry must not load at its start, as callers wait for it after a restart."""
 
 import subprocess
 import sys
--- a/tests/direct/test_lastmodels.py
+++ b/tests/direct/test_lastmodels.py
@@ -13,7 +13,7 @@
 
 
 def listed(membership: Membership | None) -> ListedTarget:
-    """Return an engine as the list shows it, in a group or in none."""
+    """Return a listed engine with the given membership."""
     model = LARGE.name if membership is not None else None
     state = EngineState(NEAR, model, (SMALL.name,), membership)
     return ListedTarget(ONE, SERVICE, "a:1", HallId("h"), False, 24, state)
@@ -36,7 +36,7 @@
         self.assertIsNone(models.model_of(ONE))
 
     def test_a_new_holder_forms_the_group_again_that_survivors_served(self) -> None:
-        """Its engines have other weights staged; only what they served last says they can."""
+        """The survivors have other weights staged; only their last model shows that they can."""
         world = EngineWorld(domains=0)
         for _ in range(LARGE.size):
             world.add(NEAR, LARGE.name)
--- a/tests/direct/test_serving.py
+++ b/tests/direct/test_serving.py
@@ -18,7 +18,7 @@
 
 class TrustedKeysTests(testtools.TestCase):
     def wait_for_keys(self, stalled_s: float, proof_in_s: float | None) -> tuple[bool, float]:
-        """Return whether keys are let in and how long that took, with a proof that is too old."""
+        """Return whether keys are accepted and after how long, starting with an expired proof."""
 
         async def work() -> tuple[bool, float]:
             loop = asyncio.get_running_loop()
--- a/tests/direct/test_startsteps.py
+++ b/tests/direct/test_startsteps.py
@@ -10,7 +10,7 @@
 
 
 class RecordedLines(EventLog):
-    """Keep events in place of writing them."""
+    """Record events instead of writing them."""
 
     def __init__(self) -> None:
         super().__init__("entry", "e", "error")
