--- a/packages/ochreway-direct/src/ochreway_direct/coordination.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordination.py
@@ -196,8 +196,8 @@
                 assignment.order,
                 self._timing.order_timeout_s,
             )
-        except TargetTurnedAway as away:
-            self._notices.on_notice(assignment.instance, away.notice, born_ms)
+        except TargetTurnedAway as rejection:
+            self._notices.on_notice(assignment.instance, rejection.notice, born_ms)
             return OrderOutcome.TURNED_AWAY
 
     def _born_ms(self, instance: InstanceId) -> int | None:
@@ -241,22 +241,22 @@
         probed_s = loop.time()
         try:
             state = await self._engines.state(record.listed.address, instance, timeout_s)
-        except TargetTurnedAway as away:
-            self._notices.on_notice(instance, away.notice, record.listed.born_ms)
+        except TargetTurnedAway as rejection:
+            self._notices.on_notice(instance, rejection.notice, record.listed.born_ms)
             self.coordinator.on_backed_off(instance)
             return
-        except PlatformError as fault:
-            if isinstance(fault, ReportUnreadable):
+        except PlatformError as error:
+            if isinstance(error, ReportUnreadable):
                 self._metrics.count("probe.unreadable")
-                self._unreadable.met(f"{instance}: {fault}", loop.time())
-            refused = isinstance(fault, TargetUnreachable)
+                self._unreadable.met(f"{instance}: {error}", loop.time())
+            refused = isinstance(error, TargetUnreachable)
             stalled_s = self._lag.since(probed_s, loop.time())
             if not refused and stalled_s > MAX_STALL_SHARE * timeout_s:
                 # The answer may have arrived while this process itself was stalled.
                 self._metrics.count("probe.own_stall")
                 self.coordinator.on_unsettled(instance)
                 return
-            self._on_probe_failed(record, fault, refused)
+            self._on_probe_failed(record, error, refused)
             return
         if state.limit_per_s is not None:
             self._notices.on_reported_limit(instance, state.limit_per_s, state.born_ms)
--- a/packages/ochreway-direct/src/ochreway_direct/main.py
+++ b/packages/ochreway-direct/src/ochreway_direct/main.py
@@ -127,7 +127,7 @@
     )
     platform_connector = TargetConnector(lambda: metrics.count("connections.platform"))
     async with (
-        target_session(target_connector) as kept_session,
+        target_session(target_connector) as pooled_session,
         target_session(single_connector) as single_session,
         aiohttp.ClientSession(connector=platform_connector, cookie_jar=jar) as platform_session,
     ):
@@ -137,7 +137,7 @@
             *(
                 entry.serving,
                 services.dialect,
-                kept_session,
+                pooled_session,
                 single_session,
                 entry.meter,
                 RelayTuning(),
@@ -151,8 +151,8 @@
             ready = await _serve_ready(settings, entry)
             connections = TargetConnections((target_connector, single_connector), metrics, relay)
             metrics_runner = await _serve_metrics(settings, entry, relay, metrics, connections)
-        except OSError as fault:
-            log.fault("cannot_listen", cause=fault)
+        except OSError as error:
+            log.fault("cannot_listen", cause=error)
             await entry.stop()
             return EXIT_LISTEN
         log.event("started", pid=os.getpid(), callers=settings.caller_listen)
