--- a/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
@@ -177,7 +177,7 @@
             names = [each.node for each in self._peers.all_peers()]
             self._loans.beat(names, bool(self._peers.alive(now_s)), now_s)
         if self._limits is not None:
-            self._limits.beat(self._peers.ranked_nodes(), self.meshed, now_s)
+            self._limits.tick(self._peers.ranked_nodes(), self.meshed, now_s)
         own = self._own_work(now_s)
         entries = self._entries_to_name(now_s)
         for peer in self.contacts():
@@ -281,7 +281,7 @@
             self._loans.borrow(heartbeat.loan, self._valid_echo_s(heartbeat, now_s), now_s)
         if self._limits is not None:
             echo_s, delay_s = self._valid_echo_s(heartbeat, now_s), _delay_s(heartbeat, now_s)
-            self._limits.hear(sender.node, heartbeat.pool, echo_s, delay_s, now_s)
+            self._limits.on_news(sender.node, heartbeat.pool, echo_s, delay_s, now_s)
         self._on_version(sender, heartbeat, now_s)
         self._compare_views(sender, heartbeat, now_s)
         if heartbeat.wanted and sender.node not in self._contacts:
