--- a/packages/ochreway-direct/src/ochreway_direct/coordination.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordination.py
@@ -9,7 +9,7 @@
 from ochreway_direct.coordinator import Assignment, Coordinator, CoordinatorTuning
 from ochreway_direct.coordinator.enginerecord import EngineRecord
 from ochreway_direct.coordinator.grouprecord import GroupPhase, PhaseCause
-from ochreway_direct.coordinator.probing import URGENT
+from ochreway_direct.coordinator.probing import URGENT_CAUSES
 from ochreway_direct.lastmodels import LastModels
 from ochreway_direct.lists.listedtarget import ListedTarget
 from ochreway_direct.noticewatch import NoticeWatch
@@ -101,7 +101,7 @@
             self._spawn(self._send_order(assignment))
         for probe in self.coordinator.due_probes(now_s):
             self._metrics.count(f"probe.{probe.cause.value}")
-            self._spawn(self._probe(probe.record, probe.cause in URGENT))
+            self._spawn(self._probe(probe.record, probe.cause in URGENT_CAUSES))
         if now_s >= self._summary_due_s:
             self._summary_due_s = now_s + SUMMARY_INTERVAL_S
             self._log_domains()
@@ -110,7 +110,7 @@
 
     def _log_domains(self) -> None:
         for each in self.coordinator.summaries():
-            able = ",".join(f"{model}:{number}" for model, number in sorted(each.able.items()))
+            able = ",".join(f"{model}:{number}" for model, number in sorted(each.joinable.items()))
             self._log.detail(
                 "domain",
                 domain=each.domain,
@@ -125,7 +125,9 @@
     def _log_plans(self, now_s: float) -> None:
         for service, plan in self.coordinator.plans.items():
             if self._plan_log.due(service, now_s):
-                self._plan_log.log_plan(service, plan, self.coordinator.loading(service), now_s)
+                self._plan_log.log_plan(
+                    service, plan, self.coordinator.count_loading(service), now_s
+                )
 
     def lost_groups(self, now_s: float) -> tuple[GroupId, ...]:
         """Return the recently lost groups, whose requests have to be abandoned."""
@@ -168,7 +170,7 @@
         try:
             outcome = await self._try_order(assignment)
         finally:
-            self.coordinator.on_outcome(
+            self.coordinator.on_order_outcome(
                 assignment.instance,
                 assignment.order,
                 outcome,
@@ -254,7 +256,7 @@
             if not refused and stalled_s > MAX_STALL_SHARE * timeout_s:
                 # The answer may have arrived while this process itself was stalled.
                 self._metrics.count("probe.own_stall")
-                self.coordinator.on_unsettled(instance)
+                self.coordinator.on_probe_inconclusive(instance)
                 return
             self._on_probe_failed(record, error, refused)
             return
--- a/packages/ochreway-direct/src/ochreway_direct/coordinator/candidates.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordinator/candidates.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The engines that may get weights, with the best load of each domain at hand."""
+"""Priority queue of the loads of weights that may begin, with the best load of each domain."""
 
 from collections import defaultdict
 from collections.abc import Callable, Hashable, Iterable
@@ -11,76 +11,76 @@
 from ochreway_direct.configuration import ModelSpec
 from ochreway_direct.coordinator.enginerecord import EngineRecord
 
-WORTH_DIGITS = 3
-"""How finely loads are told apart by their worth; of like ones the engine that loses least goes."""
+UTILITY_DIGITS = 3
+"""Decimal places to which utilities are compared; among equal loads, ``Use`` decides the order."""
 
 
 class Use(IntEnum):
-    """Say what an engine is doing, in the order in which engines are given weights."""
+    """Current use of an engine, in the order in which engines are chosen for a load."""
 
     EMPTY = 0
-    """It is free and can serve nothing."""
-    KEEPING = 1
-    """It is free, and can serve its last model whatever is loaded."""
+    """Free, and cannot serve any model."""
+    KEEPS_LAST_MODEL = 1
+    """Free, and can serve its last model even after another load."""
     SURPLUS = 2
-    """Its group is one too many."""
-    STOCKED = 3
-    """It is free, and other weights would push out those that it has."""
+    """Member of a group that exceeds the plan."""
+    HAS_STAGED = 3
+    """Free, and a load would evict the weights that it has staged."""
     SERVING = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Pair an engine with the model whose weights it should get, and what that is worth."""
+    """Load of a model's weights on an engine, and its utility."""
 
     record: EngineRecord
     model: ModelSpec
     use: Use
-    worth: float
+    utility: float
 
     @property
     def rank(self) -> tuple[float, Use]:
-        """Return a key that is the least for the load to begin first."""
-        return -round(self.worth, WORTH_DIGITS), self.use
+        """Return the sort key; the load with the lowest key begins first."""
+        return -round(self.utility, UTILITY_DIGITS), self.use
 
 
 class Candidates:
-    """Give the best loads one after the other.
+    """Return the best loads one by one.
 
-    What a load is worth depends on its domain's engines and on totals that loads do not change, so
-    only the domain of the last one is looked at again, and of engines that are alike only one. Each
-    engine and model looked at for each load took an entry some 20 s at 3,000 engines.
+    The utility of a load depends on the engines of its domain and on totals that loads do not
+    change. After a load, only its domain is evaluated again, and only one engine of each kind.
+    Evaluating each engine and model for each load took an entry about 20 s at 3,000 engines.
     """
 
     def __init__(
         self,
         records: Iterable[EngineRecord],
-        alike: Callable[[EngineRecord], Hashable],
+        kind_of: Callable[[EngineRecord], Hashable],
         best: Callable[[Iterable[EngineRecord]], Load | None],
     ) -> None:
-        """Start with engines; ``best`` returns the best load among some of one domain."""
+        """Group the engines by kind; ``best`` returns the best load of some engines of a domain."""
         self._best = best
         self._kinds: dict[DomainId, dict[Hashable, list[EngineRecord]]] = defaultdict(dict)
         for record in records:
-            self._kinds[record.domain].setdefault(alike(record), []).append(record)
+            self._kinds[record.domain].setdefault(kind_of(record), []).append(record)
         self._queue: list[tuple[tuple[float, Use], DomainId]] = []
         self._loads: dict[DomainId, Load] = {}
         for domain in self._kinds:
-            self._look_at(domain)
+            self._refresh(domain)
         heapify(self._queue)
 
-    def _look_at(self, domain: DomainId) -> None:
+    def _refresh(self, domain: DomainId) -> None:
         load = self._best(records[0] for records in self._kinds[domain].values())
         if load is not None:
             self._loads[domain] = load
             heappush(self._queue, (load.rank, domain))
 
-    def first(self) -> Load | None:
-        """Return the best load, which stays the first until it was begun."""
+    def peek(self) -> Load | None:
+        """Return the best load, or None; it remains the best until it is marked as begun."""
         return self._loads[self._queue[0][1]] if self._queue else None
 
-    def begun(self, load: Load) -> None:
-        """Take the first load out, and look at its domain again."""
+    def mark_begun(self, load: Load) -> None:
+        """Remove the best load and evaluate its domain again."""
         heappop(self._queue)
         domain = load.record.domain
         kinds = self._kinds[domain]
@@ -90,7 +90,7 @@
                 if not records:
                     del kinds[kind]
                 break
-        self._look_at(domain)
+        self._refresh(domain)
 
 
 __all__ = ["Candidates", "Load", "Use"]
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleetsharing.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleetsharing.py
@@ -80,7 +80,7 @@
         self._share_list(targets)
 
     def _apply_list(self, targets: tuple[ListedTarget, ...], polled_s: float, now_s: float) -> None:
-        self._cold.listed(targets, now_s)
+        self._cold.record_list(targets, now_s)
         self._coordination.update_targets(targets, now_s, self._health.regained_s)
         self._view.apply_list(targets, polled_s, now_s, self._health.regained_s)
 
@@ -124,7 +124,7 @@
         lost = self._coordination.lost_groups(now_s)
         content = FleetContent.build(groups, lost, self._view.plain_targets(), self._view.leaving)
         listed_age_s = self._view.listed_age_s(now_s)
-        message = self._publisher.next_message(self._lease.taken_at, content, listed_age_s)
+        message = self._publisher.next_message(self._lease.acquired_revision, content, listed_age_s)
         if message is None:
             self._view.renew_update(now_s)
             return
