--- a/tests/direct/test_planlog.py
+++ b/tests/direct/test_planlog.py
@@ -70,7 +70,7 @@
 
     def test_a_new_holder_logs_its_first_plan(self) -> None:
         self.log.log_plan(SERVICE, plan(1.0, 7.0), 0, 0.0)
-        self.log.forget()
+        self.log.reset()
         self.log.log_plan(SERVICE, plan(1.0, 7.0), 0, 0.1)
         self.assertEqual(2, len(self.recorder.events))
 
