--- a/packages/ochreway-direct/src/ochreway_direct/halls/homecheck.py
+++ b/packages/ochreway-direct/src/ochreway_direct/halls/homecheck.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Telling in the log which homes cannot be kept to by what is known."""
+"""Log events for home regions that cannot be resolved to halls."""
 
 from collections.abc import Callable, Iterable
 
@@ -10,9 +10,9 @@
 
 
 class HomeCheck:
-    """Name each hall without a region and each home without a hall once.
+    """Log each hall without a region and each home region without a hall once.
 
-    Nothing is looked at while the configuration in force names no homes.
+    Nothing is checked while the current configuration has no homes.
     """
 
     def __init__(
@@ -22,22 +22,22 @@
         self._targets = targets
         self._log = log
         self.unknown_halls: frozenset[HallId] = frozenset()
-        self._told_regions: frozenset[RegionId] = frozenset()
+        self._reported_regions: frozenset[RegionId] = frozenset()
 
     def check(self, _: float) -> None:
-        """Compare the homes in force and the halls listed with the regions that are known."""
+        """Compare the configured homes and the listed halls with the known regions."""
         routes = self._serving.routes
         if routes is None or not routes.homes:
             return
         homes = self._serving.homes
-        empty = homes.without_halls(routes.homes)
-        for region in sorted(empty - self._told_regions):
+        regions_without_halls = homes.without_halls(routes.homes)
+        for region in sorted(regions_without_halls - self._reported_regions):
             self._log.event("home_without_hall", region=region, version=routes.version)
-        self._told_regions |= empty
-        unknown = frozenset(each.hall for each in self._targets()) - homes.known
-        for hall in sorted(unknown - self.unknown_halls):
+        self._reported_regions |= regions_without_halls
+        halls_without_region = frozenset(each.hall for each in self._targets()) - homes.known
+        for hall in sorted(halls_without_region - self.unknown_halls):
             self._log.event("hall_region_unknown", hall=hall, version=routes.version)
-        self.unknown_halls |= unknown
+        self.unknown_halls |= halls_without_region
 
 
 __all__ = ["HomeCheck"]
