--- a/packages/ochreway-direct/src/ochreway_direct/dependencies.py
+++ b/packages/ochreway-direct/src/ochreway_direct/dependencies.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Telling in the log what this entry depends on, when it loses it and has it back."""
+"""Log events for the loss and recovery of what this entry depends on."""
 
 from collections.abc import Callable
 
@@ -10,7 +10,7 @@
 
 
 class Dependencies:
-    """Write a line when keys, the holder of the lease or this entry's part among others change."""
+    """Log changes of key trust, of the lease holder, of live entries and of this entry's role."""
 
     def __init__(
         self, serving: Serving, peers: Peers, head: Callable[[], bool], log: EventLog
@@ -19,13 +19,13 @@
         self._peers = peers
         self._head = head
         self._log = log
-        self._trusted: bool | None = None
+        self._keys_trusted: bool | None = None
         self._holder: NodeId | None = None
         self._was_head: bool | None = None
-        self._heard: frozenset[NodeId] = frozenset()
+        self._live_entries: frozenset[NodeId] = frozenset()
 
     def check(self, now_s: float) -> None:
-        """Compare what is so now with what was told last."""
+        """Log each difference between the current state and the last logged one."""
         self._check_keys(now_s)
         self._check_holder(now_s)
         self._check_entries(now_s)
@@ -35,8 +35,8 @@
 
     def _check_keys(self, now_s: float) -> None:
         trusted = self._serving.freshness.keys_trusted(now_s)
-        if trusted is not self._trusted:
-            self._trusted = trusted
+        if trusted is not self._keys_trusted:
+            self._keys_trusted = trusted
             age_s = round(self._serving.freshness.age_s(now_s), 3)
             version = self._serving.version
             self._log.event("keys_trusted", trusted=trusted, proof_age_s=age_s, version=version)
@@ -49,14 +49,16 @@
             self._holder = node
 
     def _check_entries(self, now_s: float) -> None:
-        """Tell of entries that fell silent or are heard again, not of those never in touch."""
-        heard = frozenset(record.peer.node for record in self._peers.alive(now_s))
-        silent = self._heard & self._peers.expected_nodes() - heard
+        """Log entries that fell silent or are received again, but not those never expected."""
+        live_now = frozenset(record.peer.node for record in self._peers.alive(now_s))
+        silent = self._live_entries & self._peers.expected_nodes() - live_now
         if silent:
             self._log.event("entries_silent", entries=",".join(sorted(silent)))
-        if heard - self._heard:
-            self._log.event("entries_heard", entries=",".join(sorted(heard - self._heard)))
-        self._heard = heard
+        if live_now - self._live_entries:
+            self._log.event(
+                "entries_heard", entries=",".join(sorted(live_now - self._live_entries))
+            )
+        self._live_entries = live_now
 
 
 __all__ = ["Dependencies"]
--- a/packages/ochreway-direct/src/ochreway_direct/planlog.py
+++ b/packages/ochreway-direct/src/ochreway_direct/planlog.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Telling what the holder of the lease plans, whenever that has changed."""
+"""Log events for the plan of the lease holder when it changes."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -9,45 +9,45 @@
 from ochreway_direct.ids import ServiceName
 from ochreway_runtime.logs import EventLog
 
-LEAST_GAP_S = 0.5
-"""The least time between two lines of a service."""
-NEED_CHANGE = 0.5
-"""By how many groups' work a need has to change to be told."""
-NEED_CHANGE_SHARE = 0.15
-"""The same as a share of the need, where that is more."""
+MIN_LOG_GAP_S = 0.5
+"""Minimum time between two log lines of a service."""
+MIN_DEMAND_CHANGE = 0.5
+"""Minimum change of a model's demand that is logged, in groups."""
+MIN_DEMAND_CHANGE_SHARE = 0.15
+"""Minimum change as a share of the demand, where that is larger."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
+class _LoggedPlan:
     plan: PlanSummary
     loading: int
     at_s: float
 
 
 class PlanLog:
-    """Write a line when needs, groups wanted or standing, or loads under way have changed."""
+    """Log the plan when demand, wanted or existing groups, or loads under way have changed."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
-        self._told: dict[ServiceName, _Told] = {}
+        self._last_logged: dict[ServiceName, _LoggedPlan] = {}
 
-    def forget(self) -> None:
-        """Have the next plan told whatever was told before."""
-        self._told.clear()
+    def reset(self) -> None:
+        """Log the next plan in any case."""
+        self._last_logged.clear()
 
     def due(self, service: ServiceName, now_s: float) -> bool:
-        """Tell whether a line of a service may be written again."""
-        told = self._told.get(service)
-        return told is None or now_s - told.at_s >= LEAST_GAP_S
+        """Return whether a line for a service may be logged again."""
+        logged = self._last_logged.get(service)
+        return logged is None or now_s - logged.at_s >= MIN_LOG_GAP_S
 
-    def step(self, service: ServiceName, plan: PlanSummary, loading: int, now_s: float) -> None:
-        """Write the line of a service if it may be written and anything has changed."""
+    def log_plan(self, service: ServiceName, plan: PlanSummary, loading: int, now_s: float) -> None:
+        """Log the plan of a service if a line is due and the plan has changed."""
         if not self.due(service, now_s):
             return
-        told = self._told.get(service)
-        if told is not None and not _differs(told, plan, loading):
+        logged = self._last_logged.get(service)
+        if logged is not None and not _plan_changed(logged, plan, loading):
             return
-        self._told[service] = _Told(plan, loading, now_s)
+        self._last_logged[service] = _LoggedPlan(plan, loading, now_s)
         self._log.event(
             "plan",
             service=service,
@@ -60,7 +60,7 @@
 
 
 def slots_text(slots: Mapping[GroupSlot, int]) -> str:
-    """Return numbers of groups by place, in one word."""
+    """Return the numbers of groups by model and domain as a single string."""
     return ",".join(
         f"{slot.model}@{slot.domain}:{number}"
         for slot, number in sorted(slots.items(), key=lambda each: (each[0].domain, each[0].model))
@@ -68,20 +68,20 @@
     )
 
 
-def _differs(told: _Told, plan: PlanSummary, loading: int) -> bool:
-    before = told.plan
+def _plan_changed(logged: _LoggedPlan, plan: PlanSummary, loading: int) -> bool:
+    before = logged.plan
     if (before.wanted, before.current) != (plan.wanted, plan.current):
         return True
-    if before.measured != plan.measured or bool(told.loading) != bool(loading):
+    if before.measured != plan.measured or bool(logged.loading) != bool(loading):
         return True
     return any(
-        _moved(before.model_demand.get(model, 0.0), need)
+        _demand_changed(before.model_demand.get(model, 0.0), need)
         for model, need in plan.model_demand.items()
     )
 
 
-def _moved(before: float, need: float) -> bool:
-    return abs(need - before) > max(NEED_CHANGE, NEED_CHANGE_SHARE * max(before, need))
+def _demand_changed(before: float, need: float) -> bool:
+    return abs(need - before) > max(MIN_DEMAND_CHANGE, MIN_DEMAND_CHANGE_SHARE * max(before, need))
 
 
-__all__ = ["LEAST_GAP_S", "PlanLog", "slots_text"]
+__all__ = ["MIN_LOG_GAP_S", "PlanLog", "slots_text"]
--- a/tests/direct/test_planlog.py
+++ b/tests/direct/test_planlog.py
@@ -7,7 +7,7 @@
 from ochreway_direct.coordinator.formation import PlanSummary
 from ochreway_direct.coordinator.placement import GroupSlot
 from ochreway_direct.ids import ModelName, ServiceName
-from ochreway_direct.planlog import LEAST_GAP_S, PlanLog
+from ochreway_direct.planlog import MIN_LOG_GAP_S, PlanLog
 from ochreway_runtime.logs import EventLog
 
 SERVICE = ServiceName("models")
@@ -39,7 +39,7 @@
         self.log = PlanLog(self.recorder)
 
     def test_an_event_has_demand_groups_and_loads(self) -> None:
-        self.log.step(SERVICE, plan(1.0, 7.25, {GroupSlot(DomainId("d1"), SMALL): 1}), 3, 0.0)
+        self.log.log_plan(SERVICE, plan(1.0, 7.25, {GroupSlot(DomainId("d1"), SMALL): 1}), 3, 0.0)
         (line,) = self.recorder.events
         self.assertEqual("plan", line["name"])
         self.assertEqual("large:1.00,small:7.25", line["needs"])
@@ -49,34 +49,34 @@
 
     def test_an_unchanged_plan_is_not_logged_again(self) -> None:
         for n in range(100):
-            self.log.step(SERVICE, plan(1.0, 7.0 + 0.01 * (n % 2)), 3 + n % 2, float(n))
+            self.log.log_plan(SERVICE, plan(1.0, 7.0 + 0.01 * (n % 2)), 3 + n % 2, float(n))
         self.assertEqual(1, len(self.recorder.events))
 
     def test_a_change_of_demand_is_logged(self) -> None:
-        self.log.step(SERVICE, plan(1.0, 7.0), 0, 0.0)
-        self.log.step(SERVICE, plan(4.0, 7.0), 0, 1.0)
+        self.log.log_plan(SERVICE, plan(1.0, 7.0), 0, 0.0)
+        self.log.log_plan(SERVICE, plan(4.0, 7.0), 0, 1.0)
         self.assertEqual("large:4.00,small:7.00", self.recorder.events[-1]["needs"])
 
     def test_a_further_group_and_the_first_load_are_logged(self) -> None:
-        self.log.step(SERVICE, plan(1.0, 7.0), 0, 0.0)
-        self.log.step(SERVICE, plan(1.0, 7.0, {GroupSlot(DomainId("d1"), SMALL): 1}), 0, 1.0)
-        self.log.step(SERVICE, plan(1.0, 7.0, {GroupSlot(DomainId("d1"), SMALL): 1}), 1, 2.0)
+        self.log.log_plan(SERVICE, plan(1.0, 7.0), 0, 0.0)
+        self.log.log_plan(SERVICE, plan(1.0, 7.0, {GroupSlot(DomainId("d1"), SMALL): 1}), 0, 1.0)
+        self.log.log_plan(SERVICE, plan(1.0, 7.0, {GroupSlot(DomainId("d1"), SMALL): 1}), 1, 2.0)
         self.assertEqual(3, len(self.recorder.events))
 
     def test_events_are_rate_limited(self) -> None:
         for n in range(200):
-            self.log.step(SERVICE, plan(float(n), 1.0), 0, n * 0.02)
-        self.assertLessEqual(len(self.recorder.events), 4.0 / LEAST_GAP_S + 1)
+            self.log.log_plan(SERVICE, plan(float(n), 1.0), 0, n * 0.02)
+        self.assertLessEqual(len(self.recorder.events), 4.0 / MIN_LOG_GAP_S + 1)
 
     def test_a_new_holder_logs_its_first_plan(self) -> None:
-        self.log.step(SERVICE, plan(1.0, 7.0), 0, 0.0)
-        self.log.forget()
-        self.log.step(SERVICE, plan(1.0, 7.0), 0, 0.1)
+        self.log.log_plan(SERVICE, plan(1.0, 7.0), 0, 0.0)
+        self.log.reset()
+        self.log.log_plan(SERVICE, plan(1.0, 7.0), 0, 0.1)
         self.assertEqual(2, len(self.recorder.events))
 
     def test_a_change_within_the_minimum_interval_is_logged_after_it(self) -> None:
-        self.log.step(SERVICE, plan(1.0, 7.0), 0, 0.0)
-        self.log.step(SERVICE, plan(4.0, 7.0), 0, 0.1)
+        self.log.log_plan(SERVICE, plan(1.0, 7.0), 0, 0.0)
+        self.log.log_plan(SERVICE, plan(4.0, 7.0), 0, 0.1)
         self.assertEqual(1, len(self.recorder.events))
-        self.log.step(SERVICE, plan(4.0, 7.0), 0, LEAST_GAP_S)
+        self.log.log_plan(SERVICE, plan(4.0, 7.0), 0, MIN_LOG_GAP_S)
         self.assertEqual(2, len(self.recorder.events))
