--- a/packages/ochreway-daemon/src/ochreway_daemon/main.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/main.py
@@ -46,7 +46,7 @@
 from ochreway_platform.instancelist import HttpInstanceList
 from ochreway_routing.policy import POLICIES
 from ochreway_runtime import steadyloop
-from ochreway_runtime.checks import shown
+from ochreway_runtime.checks import format_settings
 from ochreway_runtime.errors import SettingsInvalid
 from ochreway_runtime.logs import EventLog
 from ochreway_runtime.metrics import Metrics
@@ -135,7 +135,7 @@
             click.echo(line, err=True)
         sys.exit(EXIT_SETTINGS)
     if only_check:
-        click.echo("\n".join(shown(settings)))
+        click.echo("\n".join(format_settings(settings)))
         sys.exit(0)
 
 
--- a/packages/ochreway-daemon/src/ochreway_daemon/settings.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/settings.py
@@ -86,10 +86,10 @@
 
 
 CHECKS: dict[str, checks.Check] = {
-    "name": checks.filled,
-    "hall": checks.filled,
-    "domain": checks.filled,
-    "scope": checks.filled,
+    "name": checks.non_empty,
+    "hall": checks.non_empty,
+    "domain": checks.non_empty,
+    "scope": checks.non_empty,
     "link_listen": checks.address,
     "http_listen": checks.address,
     "platform_url": checks.url,
@@ -97,7 +97,7 @@
     "operator_key": _operator_keys,
     "peer": _peers,
     "statsd": checks.optional_address,
-    "log_level": checks.one_of(*checks.LEVELS),
+    "log_level": checks.one_of(*checks.LOG_LEVELS),
     "drain_timeout_s": checks.positive,
     "link_tick_s": checks.positive,
     "key_memory_s": checks.positive,
@@ -118,7 +118,7 @@
     Raises:
         SettingsInvalid: with a line for each fault: flag, value, what is allowed.
     """
-    faults = checks.faults_of(settings, CHECKS)
+    faults = checks.find_faults(settings, CHECKS)
     tls = (settings.tls_certificate, settings.tls_key, settings.tls_authority)
     if any(tls) and not all(tls):
         faults.append("--tls-certificate, --tls-key, --tls-authority: give all three or none")
--- a/packages/ochreway-direct/src/ochreway_direct/coordination.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordination.py
@@ -27,7 +27,7 @@
 from ochreway_runtime.logs import EventLog
 from ochreway_runtime.looplag import LoopLag
 from ochreway_runtime.metrics import Metrics
-from ochreway_runtime.repeats import Repeats
+from ochreway_runtime.repeats import RepeatedFault
 
 Spawn = Callable[[Coroutine[None, None, None]], object]
 SUMMARY_INTERVAL_S = 1.0
@@ -68,7 +68,7 @@
         self._target_check = TargetCheck()
         self._log = log
         self._metrics = metrics
-        self._unreadable = Repeats(log, "report_unreadable")
+        self._unreadable = RepeatedFault(log, "report_unreadable")
         self._phases: dict[GroupId, GroupPhase] = {}
         self._lost_since_s: dict[GroupId, float] = {}
         self._summary_due_s = 0.0
@@ -250,9 +250,9 @@
         except PlatformError as error:
             if isinstance(error, ReportUnreadable):
                 self._metrics.count("probe.unreadable")
-                self._unreadable.met(f"{instance}: {error}", loop.time())
+                self._unreadable.log_occurrence(f"{instance}: {error}", loop.time())
             refused = isinstance(error, TargetUnreachable)
-            stalled_s = self._lag.since(probed_s, loop.time())
+            stalled_s = self._lag.stalled_since(probed_s, loop.time())
             if not refused and stalled_s > MAX_STALL_SHARE * timeout_s:
                 # The answer may have arrived while this process itself was stalled.
                 self._metrics.count("probe.own_stall")
--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -68,9 +68,9 @@
 from ochreway_routing.retrybudget import RetryBudget
 from ochreway_routing.targetlimits import TargetLimits
 from ochreway_runtime.logs import EventLog
-from ochreway_runtime.looplag import REMEMBERED_S, LoopLag
+from ochreway_runtime.looplag import STALL_RETENTION_S, LoopLag
 from ochreway_runtime.metrics import Metrics
-from ochreway_runtime.suspension import Suspension
+from ochreway_runtime.suspension import SuspensionDetector
 from ochreway_runtime.timer import TimerService
 from ochreway_wire.batch import Batch
 from ochreway_wire.links import Links, LinkSettings
@@ -293,7 +293,7 @@
         await self.links.listen(host, int(port))
         timing = self._timing
         self.timer.ticks.subscribe(self.lag.tick)
-        self.timer.ticks.subscribe(Suspension(self.log, self.metrics).tick)
+        self.timer.ticks.subscribe(SuspensionDetector(self.log, self.metrics).tick)
         self.timer.every(timing.tick_s, self._tick)
         self.timer.every(timing.heartbeat_s, self._heartbeats.send)
         self.timer.every(timing.heartbeat_s, self._dependencies.check)
@@ -335,7 +335,7 @@
             "configuration_version": float(self.serving.version),
             "configuration_proved": float(self.serving.freshness.proved(now_s)),
             "keys_trusted": float(self.serving.freshness.keys_trusted(now_s)),
-            "loop_stalled_s": self.lag.since(now_s - REMEMBERED_S, now_s),
+            "loop_stalled_s": self.lag.stalled_since(now_s - STALL_RETENTION_S, now_s),
             "lease_held": float(self.lease.held),
             "groups": float(len(self.view.groups(now_s))),
             "proofs_awaited": float(self.serving.proofs_awaited),
@@ -399,7 +399,7 @@
         self._tick_due_s = ended_s + TICK_REST_FACTOR * (ended_s - begun_s)
 
     def _suspect_silent_groups(self, now_s: float) -> None:
-        silent_s = SUSPECT_SILENCE_S + self.lag.since(now_s - SUSPECT_SILENCE_S, now_s)
+        silent_s = SUSPECT_SILENCE_S + self.lag.stalled_since(now_s - SUSPECT_SILENCE_S, now_s)
         for group in self.serving.fleet.silent_groups(now_s, silent_s):
             self.suspect(group)
 
--- a/packages/ochreway-direct/src/ochreway_direct/lists/listfollower.py
+++ b/packages/ochreway-direct/src/ochreway_direct/lists/listfollower.py
@@ -11,7 +11,7 @@
 from ochreway_platform.errors import PlatformError
 from ochreway_runtime.logs import EventLog
 from ochreway_runtime.metrics import Metrics
-from ochreway_runtime.repeats import Repeats
+from ochreway_runtime.repeats import RepeatedFault
 
 
 class ListFollower:
@@ -40,8 +40,8 @@
         self._should_read = should_read
         self._on_reading = on_reading
         self._metrics = metrics
-        self._unavailable = Repeats(log, "list_unavailable")
-        self._unreadable_target = Repeats(log, "target_unreadable")
+        self._unavailable = RepeatedFault(log, "list_unavailable")
+        self._unreadable_target = RepeatedFault(log, "target_unreadable")
         self._loop = asyncio.get_running_loop()
 
     async def run(self) -> None:
@@ -63,7 +63,7 @@
             return self._backoff.failed()
         self._backoff.succeeded()
         self._health.on_answer(polled_s, self._loop.time())
-        self._unavailable.over(self._loop.time())
+        self._unavailable.log_end(self._loop.time())
         self._record_unreadable(reading.unreadable)
         self._on_reading(reading)
         return self._timing.list_gap_s
@@ -71,17 +71,19 @@
     def _on_error(self, error: PlatformError, polled_s: float) -> None:
         now_s = self._loop.time()
         self._metrics.count("list.unavailable")
-        self._unavailable.met(str(error), now_s)
+        self._unavailable.log_occurrence(str(error), now_s)
         self._health.on_failure(min(now_s, polled_s + self._timing.list_wait_s))
 
     def _record_unreadable(self, unreadable: Mapping[str, str]) -> None:
         now_s = self._loop.time()
         if not unreadable:
-            self._unreadable_target.over(now_s)
+            self._unreadable_target.log_end(now_s)
             return
         self._metrics.count("list.target_unreadable")
         instance, cause = min(unreadable.items())
-        self._unreadable_target.met(f"{instance}: {cause}", now_s, targets=len(unreadable))
+        self._unreadable_target.log_occurrence(
+            f"{instance}: {cause}", now_s, targets=len(unreadable)
+        )
 
 
 __all__ = ["ListFollower"]
--- a/packages/ochreway-direct/src/ochreway_direct/main.py
+++ b/packages/ochreway-direct/src/ochreway_direct/main.py
@@ -28,7 +28,7 @@
 from ochreway_direct.timing import DirectTiming
 from ochreway_direct.versions.firstconfiguration import wait_for_first_configuration
 from ochreway_runtime import steadyloop
-from ochreway_runtime.checks import shown
+from ochreway_runtime.checks import format_settings
 from ochreway_runtime.errors import SettingsInvalid
 from ochreway_runtime.logs import EventLog
 from ochreway_runtime.metrics import Metrics
@@ -103,7 +103,7 @@
             click.echo(line, err=True)
         sys.exit(EXIT_SETTINGS)
     if only_check:
-        click.echo("\n".join(shown(settings)))
+        click.echo("\n".join(format_settings(settings)))
         return
     sys.exit(steadyloop.run(run(settings)))
 
--- a/packages/ochreway-direct/src/ochreway_direct/serving.py
+++ b/packages/ochreway-direct/src/ochreway_direct/serving.py
@@ -94,7 +94,7 @@
         """Return whether the proof would be recent enough without this process's stalls since."""
         if self.lag is None:
             return False
-        stalled_s = self.lag.since(self.freshness.proved_s, now_s)
+        stalled_s = self.lag.stalled_since(self.freshness.proved_s, now_s)
         return self.freshness.proved(now_s - stalled_s)
 
     def proved(self) -> bool:
--- a/packages/ochreway-direct/src/ochreway_direct/settings.py
+++ b/packages/ochreway-direct/src/ochreway_direct/settings.py
@@ -125,9 +125,9 @@
 
 
 CHECKS: dict[str, checks.Check] = {
-    "name": checks.filled,
-    "hall": checks.filled,
-    "adapter": checks.filled,
+    "name": checks.non_empty,
+    "hall": checks.non_empty,
+    "adapter": checks.non_empty,
     "caller_listen": checks.address,
     "ready_listen": checks.address,
     "link_listen": checks.address,
@@ -136,7 +136,7 @@
     "link_key": checks.link_key,
     "statsd": checks.optional_address,
     "metrics_listen": checks.optional_address,
-    "log_level": checks.one_of(*checks.LEVELS),
+    "log_level": checks.one_of(*checks.LOG_LEVELS),
     "key_revoke_ms": checks.positive,
     "drain_ms": checks.positive,
     "retry_ratio": checks.positive,
--- a/packages/ochreway-direct/src/ochreway_direct/versions/configurationfollower.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/configurationfollower.py
@@ -18,7 +18,7 @@
 )
 from ochreway_runtime.logs import EventLog
 from ochreway_runtime.metrics import Metrics
-from ochreway_runtime.repeats import Repeats
+from ochreway_runtime.repeats import RepeatedFault
 
 ERROR_COUNTERS: dict[type[PlatformError], str] = {
     ConfigurationUnreadable: "configuration.unreadable",
@@ -58,7 +58,7 @@
         self._on_drained_halls = on_drained_halls
         self._log = log
         self._metrics = metrics
-        self._unavailable = Repeats(log, "configuration_unavailable")
+        self._unavailable = RepeatedFault(log, "configuration_unavailable")
         self._loop = asyncio.get_running_loop()
 
     async def run(self) -> None:
@@ -95,7 +95,7 @@
             return self._on_error(error, polled_s + wait_s)
         self._backoff.succeeded()
         self._health.on_answer(polled_s, self._loop.time())
-        self._unavailable.over(self._loop.time(), in_force=self._serving.version)
+        self._unavailable.log_end(self._loop.time(), in_force=self._serving.version)
         return self._apply_reading(reading)
 
     def _on_error(self, error: PlatformError, due_s: float) -> float:
@@ -104,7 +104,7 @@
         self._metrics.count(
             ERROR_COUNTERS.get(type(error), ERROR_COUNTERS[ConfigurationUnavailable])
         )
-        self._unavailable.met(str(error), now_s, in_force=self._serving.version)
+        self._unavailable.log_occurrence(str(error), now_s, in_force=self._serving.version)
         if not isinstance(error, ConfigurationUnreadable):
             self._health.on_failure(min(now_s, due_s))
         return self._backoff.failed()
--- a/packages/ochreway-runtime/src/ochreway_runtime/checks.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/checks.py
@@ -7,9 +7,9 @@
 
 from ochreway_runtime.errors import SettingsInvalid
 
-HIDDEN = "(hidden)"
-LINK_KEY_BYTES_AT_LEAST = 16
-LEVELS = ("debug", "info", "warning", "error")
+HIDDEN_VALUE = "(hidden)"
+MIN_LINK_KEY_BYTES = 16
+LOG_LEVELS = ("debug", "info", "warning", "error")
 
 Check = Callable[[Any], str | None]
 """Return what a value has to be, or None when it is that."""
@@ -33,15 +33,15 @@
     return None if value.startswith(("http://", "https://")) else "an http:// or https:// URL"
 
 
-def filled(value: str) -> str | None:
+def non_empty(value: str) -> str | None:
     """Check that a name is given."""
     return None if value else "a name"
 
 
 def link_key(value: str) -> str | None:
     """Check the key of links between processes."""
-    long_enough = len(value.encode()) >= LINK_KEY_BYTES_AT_LEAST
-    return None if long_enough else f"at least {LINK_KEY_BYTES_AT_LEAST} bytes"
+    long_enough = len(value.encode()) >= MIN_LINK_KEY_BYTES
+    return None if long_enough else f"at least {MIN_LINK_KEY_BYTES} bytes"
 
 
 def positive(value: float) -> str | None:
@@ -59,15 +59,15 @@
     return lambda value: None if value in allowed else "one of " + ", ".join(allowed)
 
 
-def faults_of(settings: Any, checks: Mapping[str, Check]) -> list[str]:
+def find_faults(settings: Any, checks: Mapping[str, Check]) -> list[str]:
     """Return a line for each setting that is not acceptable: flag, value, what is allowed."""
     faults = []
     for item in dataclasses.fields(settings):
         value = getattr(settings, item.name)
         allowed = checks[item.name](value) if item.name in checks else None
         if allowed is not None:
-            told = HIDDEN if item.metadata.get("secret") else repr(value)
-            faults.append(f"--{item.name.replace('_', '-')}: {told} is not {allowed}")
+            shown_value = HIDDEN_VALUE if item.metadata.get("secret") else repr(value)
+            faults.append(f"--{item.name.replace('_', '-')}: {shown_value} is not {allowed}")
     return faults
 
 
@@ -77,32 +77,32 @@
     Raises:
         SettingsInvalid: with a line for each fault.
     """
-    faults = faults_of(settings, checks)
+    faults = find_faults(settings, checks)
     if faults:
         raise SettingsInvalid(faults)
 
 
-def shown(settings: Any) -> list[str]:
+def format_settings(settings: Any) -> list[str]:
     """Return the settings in force as key=value lines, secrets hidden."""
     lines = []
     for item in dataclasses.fields(settings):
-        value = HIDDEN if item.metadata.get("secret") else getattr(settings, item.name)
+        value = HIDDEN_VALUE if item.metadata.get("secret") else getattr(settings, item.name)
         lines.append(f"{item.name}={value}")
     return lines
 
 
 __all__ = [
-    "LEVELS",
+    "LOG_LEVELS",
     "Check",
     "address",
     "check_all",
-    "faults_of",
-    "filled",
+    "find_faults",
+    "non_empty",
     "link_key",
     "not_negative",
     "one_of",
     "optional_address",
     "positive",
-    "shown",
+    "format_settings",
     "url",
 ]
--- a/packages/ochreway-runtime/src/ochreway_runtime/linebudget.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/linebudget.py
@@ -8,7 +8,7 @@
 class LineKind(Enum):
     """Say what a line tells, the more important first."""
 
-    BELIEF = "belief"
+    STATE_CHANGE = "belief"
     """The process starts, stops, or believes something else than before."""
     FAILURE = "failure"
     """A request went wrong, or came late."""
@@ -17,7 +17,7 @@
 
 
 LINES_PER_S: dict[LineKind, float] = {
-    LineKind.BELIEF: 100.0,
+    LineKind.STATE_CHANGE: 100.0,
     LineKind.FAILURE: 40.0,
     LineKind.SUCCESS: 2.0,
 }
@@ -29,8 +29,8 @@
 @dataclass(slots=True)
 class _Bucket:
     per_s: float
-    left: float
-    filled_s: float
+    remaining: float
+    last_filled_s: float
     withheld: int = 0
 
 
@@ -44,21 +44,23 @@
     def allows(self, kind: LineKind, now_s: float) -> bool:
         """Spend a line; return whether there was one."""
         bucket = self._buckets[kind]
-        saved = bucket.left + (now_s - bucket.filled_s) * bucket.per_s
-        bucket.left = min(bucket.per_s * BURST_S, saved)
-        bucket.filled_s = now_s
-        if bucket.left < 1.0:
+        saved = bucket.remaining + (now_s - bucket.last_filled_s) * bucket.per_s
+        bucket.remaining = min(bucket.per_s * BURST_S, saved)
+        bucket.last_filled_s = now_s
+        if bucket.remaining < 1.0:
             bucket.withheld += 1
             return False
-        bucket.left -= 1.0
+        bucket.remaining -= 1.0
         return True
 
     def take_withheld(self) -> dict[LineKind, int]:
         """Return how many lines of each kind were withheld since this was last asked."""
-        found = {kind: bucket.withheld for kind, bucket in self._buckets.items() if bucket.withheld}
+        withheld_by_kind = {
+            kind: bucket.withheld for kind, bucket in self._buckets.items() if bucket.withheld
+        }
         for bucket in self._buckets.values():
             bucket.withheld = 0
-        return found
+        return withheld_by_kind
 
 
 __all__ = ["BURST_S", "LINES_PER_S", "LineBudget", "LineKind"]
--- a/packages/ochreway-runtime/src/ochreway_runtime/linewriter.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/linewriter.py
@@ -6,9 +6,9 @@
 from collections import deque
 from typing import TextIO
 
-LINES_AT_MOST = 2000
+MAX_QUEUED_LINES = 2000
 """How many lines may wait to be written: some seconds of a busy process, under 1 MB."""
-CLOSE_S = 0.3
+FLUSH_TIMEOUT_S = 0.3
 """How long an ending process tries to write what still waits."""
 
 
@@ -18,10 +18,10 @@
     A pipe that nobody reads blocks its writer. Here that is only the thread.
     """
 
-    def __init__(self, stream: TextIO, lines_at_most: int = LINES_AT_MOST) -> None:
+    def __init__(self, stream: TextIO, max_queued_lines: int = MAX_QUEUED_LINES) -> None:
         self._stream = stream
         self._lines: deque[str] = deque()
-        self._lines_at_most = lines_at_most
+        self._max_queued_lines = max_queued_lines
         self._lock = threading.Lock()
         self._wake = threading.Event()
         self._idle = threading.Event()
@@ -31,7 +31,7 @@
 
     def write(self, line: str) -> bool:
         """Queue a line; return whether there was room for it."""
-        if len(self._lines) >= self._lines_at_most:
+        if len(self._lines) >= self._max_queued_lines:
             self._dropped += 1
             return False
         with self._lock:
@@ -47,9 +47,9 @@
         dropped, self._dropped = self._dropped, 0
         return dropped
 
-    def flush(self, within_s: float = CLOSE_S) -> bool:
+    def flush(self, timeout_s: float = FLUSH_TIMEOUT_S) -> bool:
         """Wait a little until all lines are written; return whether they are."""
-        return self._idle.wait(within_s)
+        return self._idle.wait(timeout_s)
 
     def _start(self) -> None:
         self._thread = threading.Thread(target=self._run, name="log-writer", daemon=True)
@@ -60,16 +60,16 @@
         while True:
             self._wake.wait()
             self._wake.clear()
-            waiting = []
+            queued = []
             while self._lines:
-                waiting.append(self._lines.popleft())
-            if waiting:
-                self._put("\n".join(waiting) + "\n")
+                queued.append(self._lines.popleft())
+            if queued:
+                self._write_to_stream("\n".join(queued) + "\n")
             with self._lock:
                 if not self._lines:
                     self._idle.set()
 
-    def _put(self, text: str) -> None:
+    def _write_to_stream(self, text: str) -> None:
         try:
             self._stream.write(text)
             self._stream.flush()
@@ -78,4 +78,4 @@
             self._dropped += text.count("\n")
 
 
-__all__ = ["LINES_AT_MOST", "LineWriter"]
+__all__ = ["MAX_QUEUED_LINES", "LineWriter"]
--- a/packages/ochreway-runtime/src/ochreway_runtime/logs.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/logs.py
@@ -9,7 +9,7 @@
 from ochreway_runtime.linebudget import LineBudget, LineKind
 from ochreway_runtime.linewriter import LineWriter
 
-DROPPED_TOLD_S = 1.0
+DROPPED_REPORT_INTERVAL_S = 1.0
 """How often a line tells how many others were left out."""
 
 
@@ -51,26 +51,26 @@
     ) -> None:
         logbook.set_datetime_format("utc")
         self._logger = logbook.Logger(role)
-        self._in_detail = level == "debug"
+        self._is_debug = level == "debug"
         self._common = f"role={role} node={_quote(node)}"
         self._writer = writer or LineWriter(sys.stdout)
         self._budget = budget or LineBudget(time.monotonic())
-        self._told_s = time.monotonic()
+        self._dropped_reported_s = time.monotonic()
         _WriterHandler(self._writer, level.upper()).push_application()
 
     def event(self, name: str, **fields: object) -> None:
         """Write one event that changes what the process does or believes."""
-        if self._allowed(LineKind.BELIEF):
+        if self._allowed(LineKind.STATE_CHANGE):
             self._logger.info(self._line(name, fields))
 
     def detail(self, name: str, **fields: object) -> None:
         """Write one event that is of use when looking into a fault."""
-        if self._in_detail:
+        if self._is_debug:
             self._logger.debug(self._line(name, fields))
 
     def fault(self, name: str, **fields: object) -> None:
         """Write one event that someone should look at."""
-        if self._allowed(LineKind.BELIEF):
+        if self._allowed(LineKind.STATE_CHANGE):
             self._logger.error(self._line(name, fields))
 
     def failure(self, name: str, **fields: object) -> None:
@@ -89,12 +89,12 @@
 
     def _allowed(self, kind: LineKind) -> bool:
         now_s = time.monotonic()
-        if now_s - self._told_s >= DROPPED_TOLD_S:
-            self._told_s = now_s
-            self._tell_dropped()
-        return self._in_detail or self._budget.allows(kind, now_s)
+        if now_s - self._dropped_reported_s >= DROPPED_REPORT_INTERVAL_S:
+            self._dropped_reported_s = now_s
+            self._report_dropped()
+        return self._is_debug or self._budget.allows(kind, now_s)
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         withheld = {k.value: number for k, number in self._budget.take_withheld().items()}
         unread = self._writer.take_dropped()
         if withheld or unread:
@@ -105,4 +105,4 @@
         return f"event={name} {self._common}{pairs}"
 
 
-__all__ = ["DROPPED_TOLD_S", "EventLog"]
+__all__ = ["DROPPED_REPORT_INTERVAL_S", "EventLog"]
--- a/packages/ochreway-runtime/src/ochreway_runtime/looplag.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/looplag.py
@@ -6,11 +6,11 @@
 
 from ochreway_runtime.logs import EventLog
 
-REMEMBERED_S = 5.0
+STALL_RETENTION_S = 5.0
 """For how long a stall is remembered; no bound on silence is longer."""
-NOTED_S = 0.05
+MIN_STALL_S = 0.05
 """From which lateness on a tick counts as a stall; scheduling alone takes a few ms."""
-TOLD_S = 0.25
+MIN_LOGGED_STALL_S = 0.25
 """From which length on a stall is logged: as long as a probe's answer is waited for."""
 
 
@@ -28,29 +28,29 @@
     def __init__(self, tick_s: float, log: EventLog) -> None:
         self._tick_s = tick_s
         self._log = log
-        self._ticked_s: float | None = None
+        self._last_tick_s: float | None = None
         self._stalls: deque[Stall] = deque()
 
     def tick(self, now_s: float) -> None:
         """Take a tick, which was due ``tick_s`` after the one before."""
-        before_s, self._ticked_s = self._ticked_s, now_s
-        while self._stalls and now_s - self._stalls[0].ended_s > REMEMBERED_S:
+        previous_tick_s, self._last_tick_s = self._last_tick_s, now_s
+        while self._stalls and now_s - self._stalls[0].ended_s > STALL_RETENTION_S:
             self._stalls.popleft()
-        if before_s is None:
+        if previous_tick_s is None:
             return
-        length_s = now_s - before_s - self._tick_s
-        if length_s >= NOTED_S:
+        length_s = now_s - previous_tick_s - self._tick_s
+        if length_s >= MIN_STALL_S:
             self._stalls.append(Stall(now_s, length_s))
-        if length_s >= TOLD_S:
+        if length_s >= MIN_LOGGED_STALL_S:
             self._log.event("loop_stalled", stalled_s=round(length_s, 3))
 
-    def since(self, asked_s: float, now_s: float) -> float:
+    def stalled_since(self, since_s: float, now_s: float) -> float:
         """Return for how long the loop stood still since a time, the running tick included."""
         running_s = 0.0
-        if self._ticked_s is not None:
-            running_s = max(0.0, now_s - self._ticked_s - self._tick_s)
-        past_s = sum(each.length_s for each in self._stalls if each.ended_s > asked_s)
-        return past_s + (running_s if running_s >= NOTED_S else 0.0)
+        if self._last_tick_s is not None:
+            running_s = max(0.0, now_s - self._last_tick_s - self._tick_s)
+        past_s = sum(each.length_s for each in self._stalls if each.ended_s > since_s)
+        return past_s + (running_s if running_s >= MIN_STALL_S else 0.0)
 
 
-__all__ = ["NOTED_S", "REMEMBERED_S", "TOLD_S", "LoopLag", "Stall"]
+__all__ = ["MIN_STALL_S", "STALL_RETENTION_S", "MIN_LOGGED_STALL_S", "LoopLag", "Stall"]
--- a/packages/ochreway-runtime/src/ochreway_runtime/metricspage.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/metricspage.py
@@ -11,13 +11,13 @@
 from ochreway_runtime.metrics import PREFIX, Metrics
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-KIND = "kind"
+KIND_LABEL = "kind"
 """The label that holds what follows a counter's first name."""
 
 Gauges = Callable[[], Mapping[str, float]]
 
 
-class _Figures(Collector):
+class _MetricsCollector(Collector):
     """Turn ``refused.no_group`` into a family ``refused`` with a label for each kind."""
 
     def __init__(self, metrics: Metrics, gauges: Gauges) -> None:
@@ -31,10 +31,12 @@
             family, _, kind = name.partition(".")
             families[family][kind] = value
         for family, kinds in sorted(families.items()):
-            found = CounterMetricFamily(f"{PREFIX}_{family}", f"Counts of {family}.", labels=[KIND])
+            counter = CounterMetricFamily(
+                f"{PREFIX}_{family}", f"Counts of {family}.", labels=[KIND_LABEL]
+            )
             for kind, value in sorted(kinds.items()):
-                found.add_metric([kind], value)
-            yield found
+                counter.add_metric([kind], value)
+            yield counter
         for name, gauge in sorted(self._gauges().items()):
             yield GaugeMetricFamily(f"{PREFIX}_{name}", f"{name} now.", value=gauge)
 
@@ -44,7 +46,7 @@
 
     def __init__(self, metrics: Metrics, gauges: Gauges = dict) -> None:
         self._registry = CollectorRegistry(auto_describe=False)
-        self._registry.register(_Figures(metrics, gauges))
+        self._registry.register(_MetricsCollector(metrics, gauges))
 
     def render(self) -> bytes:
         """Return the page."""
--- a/packages/ochreway-runtime/src/ochreway_runtime/option.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/option.py
@@ -9,7 +9,7 @@
 F = TypeVar("F", bound=Callable[..., Any])
 
 
-def option(flag: str, default: Any, text: str, **more: Any) -> Callable[[F], F]:
+def option(flag: str, default: Any, text: str, **extra_options: Any) -> Callable[[F], F]:
     """Declare a setting as a flag and an environment variable."""
     variable = "OCHREWAY_" + flag.removeprefix("--").replace("-", "_").upper()
     return click.option(
@@ -19,7 +19,7 @@
         show_envvar=True,
         show_default=True,
         help=text,
-        **more,
+        **extra_options,
     )
 
 
--- a/tests/runtime/recordedlog.py
+++ b/tests/runtime/recordedlog.py
@@ -9,7 +9,7 @@
 
     def __init__(self) -> None:
         self.events: list[tuple[str, dict[str, object]]] = []
-        self._in_detail = False
+        self._is_debug = False
 
     def event(self, name: str, **fields: object) -> None:
         self.events.append((name, fields))
--- a/tests/runtime/test_logs.py
+++ b/tests/runtime/test_logs.py
@@ -14,22 +14,22 @@
         budget = LineBudget(0.0, {kind: 10.0 for kind in LineKind})
         written = sum(budget.allows(LineKind.FAILURE, 0.0) for _ in range(100))
         self.assertEqual(10 * BURST_S, written)
-        self.assertTrue(budget.allows(LineKind.BELIEF, 0.0))
+        self.assertTrue(budget.allows(LineKind.STATE_CHANGE, 0.0))
         self.assertEqual({LineKind.FAILURE: 100 - written}, budget.take_withheld())
         self.assertEqual({}, budget.take_withheld())
         self.assertEqual(10, sum(budget.allows(LineKind.FAILURE, 1.0) for _ in range(100)))
 
-    def test_beliefs_and_failures_may_write_more_than_successes(self) -> None:
+    def test_state_changes_and_failures_may_write_more_than_successes(self) -> None:
         self.assertLess(LINES_PER_S[LineKind.SUCCESS], LINES_PER_S[LineKind.FAILURE])
-        self.assertLess(LINES_PER_S[LineKind.FAILURE], LINES_PER_S[LineKind.BELIEF])
+        self.assertLess(LINES_PER_S[LineKind.FAILURE], LINES_PER_S[LineKind.STATE_CHANGE])
 
 
 class LineWriterTests(testtools.TestCase):
-    def test_a_reader_that_does_not_read_holds_nobody_up(self) -> None:
+    def test_a_reader_that_does_not_read_blocks_no_caller(self) -> None:
         reads, writes = os.pipe()
         with os.fdopen(writes, "w") as stream:
             self._fill(writes)
-            writer = LineWriter(stream, lines_at_most=50)
+            writer = LineWriter(stream, max_queued_lines=50)
             written = sum(writer.write("x" * 1000) for _ in range(1000))
             self.assertLessEqual(written, 2 * 50)
             self.assertEqual(1000 - written, writer.take_dropped())
@@ -51,7 +51,7 @@
             while stream.read(4096):
                 pass
 
-    def test_lines_come_whole_and_in_order(self) -> None:
+    def test_lines_are_written_complete_and_in_order(self) -> None:
         reads, writes = os.pipe()
         with os.fdopen(writes, "w") as stream:
             writer = LineWriter(stream)
@@ -63,7 +63,7 @@
 
 
 class EventLogTests(testtools.TestCase):
-    def written(self, level: str, per_s: float) -> list[str]:
+    def logged_lines(self, level: str, per_s: float) -> list[str]:
         reads, writes = os.pipe()
         with os.fdopen(writes, "w") as stream:
             budget = LineBudget(0.0, dict.fromkeys(LineKind, per_s))
@@ -76,10 +76,10 @@
             return list(lines)
 
     def test_a_line_has_its_time_level_event_process_and_fields(self) -> None:
-        line = self.written("info", 100.0)[0]
+        line = self.logged_lines("info", 100.0)[0]
         self.assertRegex(line, r"^time=\S+Z level=INFO event=refused role=entry node=e request=r0")
         self.assertIn('cause="it\'s so"', line)
 
-    def test_a_budget_bounds_the_lines_but_not_in_detail(self) -> None:
-        self.assertEqual(2, len(self.written("info", 1.0)))
-        self.assertEqual(11, len(self.written("debug", 1.0)))
+    def test_a_budget_bounds_the_lines_except_at_level_debug(self) -> None:
+        self.assertEqual(2, len(self.logged_lines("info", 1.0)))
+        self.assertEqual(11, len(self.logged_lines("debug", 1.0)))
--- a/tests/runtime/test_steadyloop.py
+++ b/tests/runtime/test_steadyloop.py
@@ -13,13 +13,13 @@
 from ochreway_runtime import steadyclock, steadyloop
 from ochreway_runtime.metrics import Metrics
 from ochreway_runtime.steadyloop import SteadyLoop
-from ochreway_runtime.suspension import NOTED_S, Suspension
+from ochreway_runtime.suspension import MIN_SUSPENSION_S, SuspensionDetector
 from tests.runtime.recordedlog import RecordedLog
 
 SUSPENDED_S = 60.0
 
 
-class Clock:
+class SuspendableClock:
     """Stand for the clock of an instance that is suspended now and then."""
 
     def __init__(self) -> None:
@@ -33,16 +33,16 @@
 
 
 class SteadyLoopTests(testtools.TestCase):
-    def on_loop(self, work: object) -> None:
+    def run_on_loop(self, work: object) -> None:
         with asyncio.Runner(loop_factory=lambda: SteadyLoop(self.clock.steady)) as runner:
             runner.run(work(self.clock))  # type: ignore[operator]
 
     def setUp(self) -> None:
         super().setUp()
-        self.clock = Clock()
+        self.clock = SuspendableClock()
 
-    def test_a_key_that_was_proved_before_it_is_not_trusted_after_it(self) -> None:
-        async def work(clock: Clock) -> None:
+    def test_a_key_proved_before_a_suspension_is_not_trusted_after_it(self) -> None:
+        async def work(clock: SuspendableClock) -> None:
             loop = asyncio.get_running_loop()
             freshness = Freshness(5.0)
             freshness.prove(loop.time())
@@ -52,10 +52,10 @@
             freshness.prove(loop.time())
             self.assertTrue(freshness.keys_trusted(loop.time()))
 
-        self.on_loop(work)
+        self.run_on_loop(work)
 
-    def test_what_was_asked_for_before_it_proves_nothing_after_it(self) -> None:
-        async def work(clock: Clock) -> None:
+    def test_a_request_sent_before_a_suspension_proves_nothing_after_it(self) -> None:
+        async def work(clock: SuspendableClock) -> None:
             loop = asyncio.get_running_loop()
             asked_s = loop.time()
             clock.suspended_s += SUSPENDED_S
@@ -63,10 +63,10 @@
             freshness.prove(asked_s)
             self.assertFalse(freshness.keys_trusted(loop.time()))
 
-        self.on_loop(work)
+        self.run_on_loop(work)
 
-    def test_a_drained_hall_closes_meanwhile(self) -> None:
-        async def work(clock: Clock) -> None:
+    def test_a_drained_hall_closes_during_a_suspension(self) -> None:
+        async def work(clock: SuspendableClock) -> None:
             loop = asyncio.get_running_loop()
             drains, hall = HallDrains(5.0), HallId("h")
             drains.on_store_reading(DrainedHalls(Version(1), ()), loop.time())
@@ -75,10 +75,10 @@
             clock.suspended_s += SUSPENDED_S
             self.assertEqual({hall}, drains.closed(loop.time()))
 
-        self.on_loop(work)
+        self.run_on_loop(work)
 
-    def test_what_fell_due_meanwhile_runs_at_once(self) -> None:
-        async def work(clock: Clock) -> None:
+    def test_a_timer_due_during_a_suspension_runs_at_once_after_it(self) -> None:
+        async def work(clock: SuspendableClock) -> None:
             loop = asyncio.get_running_loop()
             ran = asyncio.Event()
             loop.call_later(SUSPENDED_S, ran.set)
@@ -86,9 +86,9 @@
             async with asyncio.timeout_at(loop.time() + 5.0):
                 await ran.wait()
 
-        self.on_loop(work)
+        self.run_on_loop(work)
 
-    def test_processes_run_under_it(self) -> None:
+    def test_processes_run_on_the_steady_loop(self) -> None:
         async def work() -> float:
             return asyncio.get_running_loop().time() - steadyclock.now_s()
 
@@ -96,14 +96,14 @@
 
 
 class SuspensionTests(testtools.TestCase):
-    def test_each_suspension_is_told_once_with_its_length(self) -> None:
-        clock, metrics, log = Clock(), Metrics(None, "entry"), RecordedLog()
-        watch = Suspension(log, metrics, clock.steady, clock.running)
+    def test_each_suspension_is_counted_once(self) -> None:
+        clock, metrics, log = SuspendableClock(), Metrics(None, "entry"), RecordedLog()
+        watch = SuspensionDetector(log, metrics, clock.steady, clock.running)
         watch.tick(0.0)
         clock.suspended_s += SUSPENDED_S
         for _ in range(3):
             watch.tick(0.0)
         self.assertEqual({"instance.suspended": 1}, metrics.counters)
-        clock.suspended_s += NOTED_S / 2
+        clock.suspended_s += MIN_SUSPENSION_S / 2
         watch.tick(0.0)
         self.assertEqual({"instance.suspended": 1}, metrics.counters)
