--- a/packages/ochreway-runtime/src/ochreway_runtime/__init__.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What every process shares: logs, metrics, timer, settings."""
+"""Infrastructure shared by all processes: logs, metrics, timers and settings."""
--- a/packages/ochreway-runtime/src/ochreway_runtime/checks.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/checks.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Checking settings at start, with every fault reported at once."""
+"""Validation of settings at startup; all faults are reported together."""
 
 import dataclasses
 from collections.abc import Callable, Mapping
@@ -12,7 +12,7 @@
 LOG_LEVELS = ("debug", "info", "warning", "error")
 
 Check = Callable[[Any], str | None]
-"""Return what a value has to be, or None when it is that."""
+"""Return a description of the allowed values, or None if the value is valid."""
 
 
 def address(value: str) -> str | None:
@@ -24,7 +24,7 @@
 
 
 def optional_address(value: str) -> str | None:
-    """Check a host and port that may be left out."""
+    """Check a host and port that may be empty."""
     return address(value) if value else None
 
 
@@ -34,12 +34,12 @@
 
 
 def non_empty(value: str) -> str | None:
-    """Check that a name is given."""
+    """Check that a name is not empty."""
     return None if value else "a name"
 
 
 def link_key(value: str) -> str | None:
-    """Check the key of links between processes."""
+    """Check the length of the key of links between processes."""
     long_enough = len(value.encode()) >= MIN_LINK_KEY_BYTES
     return None if long_enough else f"at least {MIN_LINK_KEY_BYTES} bytes"
 
@@ -50,17 +50,17 @@
 
 
 def not_negative(value: float) -> str | None:
-    """Check a number that may be 0."""
+    """Check a number of 0 or more."""
     return None if value >= 0 else "a number of 0 or more"
 
 
 def one_of(*allowed: str) -> Check:
-    """Return a check that a value is among those allowed."""
+    """Return a check that a value is one of those allowed."""
     return lambda value: None if value in allowed else "one of " + ", ".join(allowed)
 
 
 def find_faults(settings: Any, checks: Mapping[str, Check]) -> list[str]:
-    """Return a line for each setting that is not acceptable: flag, value, what is allowed."""
+    """Return a line for each invalid setting with its flag, value and allowed values."""
     faults = []
     for item in dataclasses.fields(settings):
         value = getattr(settings, item.name)
@@ -72,10 +72,10 @@
 
 
 def check_all(settings: Any, checks: Mapping[str, Check]) -> None:
-    """Check every setting.
+    """Validate all settings.
 
     Raises:
-        SettingsInvalid: with a line for each fault.
+        SettingsInvalid: if any are invalid, with a line for each fault.
     """
     faults = find_faults(settings, checks)
     if faults:
@@ -83,7 +83,7 @@
 
 
 def format_settings(settings: Any) -> list[str]:
-    """Return the settings in force as key=value lines, secrets hidden."""
+    """Return the effective settings as key=value lines with secrets hidden."""
     lines = []
     for item in dataclasses.fields(settings):
         value = HIDDEN_VALUE if item.metadata.get("secret") else getattr(settings, item.name)
--- a/packages/ochreway-runtime/src/ochreway_runtime/errors.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/errors.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Errors of what every process shares."""
+"""Errors of the infrastructure shared by all processes."""
 
 
 class SettingsInvalid(Exception):
-    """One or more settings are not acceptable."""
+    """One or more settings are invalid."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
--- a/packages/ochreway-runtime/src/ochreway_runtime/linebudget.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/linebudget.py
@@ -1,19 +1,19 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How many lines of each kind a process may write a second."""
+"""Rate limits for the log lines of each kind that a process writes."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class LineKind(Enum):
-    """Say what a line tells, the more important first."""
+    """Kinds of log lines, the most important first."""
 
     STATE_CHANGE = "belief"
-    """The process starts, stops, or believes something else than before."""
+    """The process starts, stops, or changes its view of the system."""
     FAILURE = "failure"
-    """A request went wrong, or came late."""
+    """A request failed or was late."""
     SUCCESS = "success"
-    """A request went well."""
+    """A request succeeded."""
 
 
 LINES_PER_S: dict[LineKind, float] = {
@@ -21,9 +21,9 @@
     LineKind.FAILURE: 40.0,
     LineKind.SUCCESS: 2.0,
 }
-"""The budgets of one process: with some 250 bytes a line, 35 KB/s at the very most."""
+"""Bounds the log output of one process: at about 250 bytes per line, at most 35 KB/s."""
 BURST_S = 2.0
-"""How much of a budget may be saved up, as failures come in bursts."""
+"""Bounds how much unused budget may accumulate, as failures occur in bursts."""
 
 
 @dataclass(slots=True)
@@ -35,14 +35,14 @@
 
 
 class LineBudget:
-    """Allow each kind of line its own rate, and count what it withholds."""
+    """Limit each kind of line to its own rate and count the lines withheld."""
 
     def __init__(self, now_s: float, lines_per_s: dict[LineKind, float] | None = None) -> None:
         rates = lines_per_s or LINES_PER_S
         self._buckets = {kind: _Bucket(rate, rate * BURST_S, now_s) for kind, rate in rates.items()}
 
     def allows(self, kind: LineKind, now_s: float) -> bool:
-        """Spend a line; return whether there was one."""
+        """Consume one line of the budget; return whether one was available."""
         bucket = self._buckets[kind]
         saved = bucket.remaining + (now_s - bucket.last_filled_s) * bucket.per_s
         bucket.remaining = min(bucket.per_s * BURST_S, saved)
@@ -54,7 +54,7 @@
         return True
 
     def take_withheld(self) -> dict[LineKind, int]:
-        """Return how many lines of each kind were withheld since this was last asked."""
+        """Return how many lines of each kind were withheld since the last call."""
         withheld_by_kind = {
             kind: bucket.withheld for kind, bucket in self._buckets.items() if bucket.withheld
         }
--- a/packages/ochreway-runtime/src/ochreway_runtime/linewriter.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/linewriter.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Writing lines without ever waiting for whoever reads them."""
+"""Writing of log lines that never blocks on a slow reader."""
 
 import atexit
 import threading
@@ -7,15 +7,15 @@
 from typing import TextIO
 
 MAX_QUEUED_LINES = 2000
-"""How many lines may wait to be written: some seconds of a busy process, under 1 MB."""
+"""Bounds the lines that wait to be written: several seconds of a busy process, under 1 MB."""
 FLUSH_TIMEOUT_S = 0.3
-"""How long an ending process tries to write what still waits."""
+"""Bounds how long an exiting process tries to write its queued lines."""
 
 
 class LineWriter:
-    """Hand lines to a thread that writes them; drop and count them while too many wait.
+    """Pass lines to a thread that writes them; drop and count lines while the queue is full.
 
-    A pipe that nobody reads blocks its writer. Here that is only the thread.
+    A pipe that nobody reads blocks its writer, so only the thread writes to it.
     """
 
     def __init__(self, stream: TextIO, max_queued_lines: int = MAX_QUEUED_LINES) -> None:
@@ -30,7 +30,7 @@
         self._thread: threading.Thread | None = None
 
     def write(self, line: str) -> bool:
-        """Queue a line; return whether there was room for it."""
+        """Queue a line; return False if the queue is full and the line was dropped."""
         if len(self._lines) >= self._max_queued_lines:
             self._dropped += 1
             return False
@@ -43,12 +43,12 @@
         return True
 
     def take_dropped(self) -> int:
-        """Return how many lines were dropped since this was last asked."""
+        """Return how many lines were dropped since the last call."""
         dropped, self._dropped = self._dropped, 0
         return dropped
 
     def flush(self, timeout_s: float = FLUSH_TIMEOUT_S) -> bool:
-        """Wait a little until all lines are written; return whether they are."""
+        """Wait up to ``timeout_s`` for all lines to be written; return whether they were."""
         return self._idle.wait(timeout_s)
 
     def _start(self) -> None:
@@ -74,7 +74,7 @@
             self._stream.write(text)
             self._stream.flush()
         except (OSError, ValueError):
-            # Nobody can be told that nothing can be written; the lines count as dropped.
+            # A log that cannot be written cannot report this; count its lines as dropped.
             self._dropped += text.count("\n")
 
 
--- a/packages/ochreway-runtime/src/ochreway_runtime/logs.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/logs.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Logs: one line of key=value pairs for each event."""
+"""Event logs: one line of key=value pairs per event."""
 
 import sys
 import time
@@ -10,7 +10,7 @@
 from ochreway_runtime.linewriter import LineWriter
 
 DROPPED_REPORT_INTERVAL_S = 1.0
-"""How often a line tells how many others were left out."""
+"""Bounds how often a line reports the number of lines dropped."""
 
 
 def _quote(value: object) -> str:
@@ -20,7 +20,7 @@
 
 
 class _WriterHandler(logbook.Handler):  # type: ignore[misc]
-    """Give logbook's formatted lines to a writer that never waits."""
+    """Pass logbook's formatted lines to a writer that never blocks."""
 
     def __init__(self, writer: LineWriter, level: str) -> None:
         super().__init__(level, bubble=False)
@@ -30,15 +30,16 @@
         self._writer = writer
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Queue the line of a record."""
+        """Queue a formatted record."""
         self._writer.write(self.format(record))
 
 
 class EventLog:
-    """Write events of one process, within a budget of lines for each kind.
+    """Write the events of one process, limited to a rate for each kind of line.
 
-    At level debug everything is written that can be; at others the details are left out. What a
-    reader of the log lacks is told once a second in a line ``event=lines_dropped``.
+    At level debug the rates do not apply and details are written as well; at other levels details
+    are omitted. Withheld and dropped lines are counted in a line ``event=lines_dropped``, at most
+    once per second.
     """
 
     def __init__(
@@ -59,32 +60,32 @@
         _WriterHandler(self._writer, level.upper()).push_application()
 
     def event(self, name: str, **fields: object) -> None:
-        """Write one event that changes what the process does or believes."""
+        """Log a change of the process's behaviour or of its view of the system."""
         if self._allowed(LineKind.STATE_CHANGE):
             self._logger.info(self._line(name, fields))
 
     def detail(self, name: str, **fields: object) -> None:
-        """Write one event that is of use when looking into a fault."""
+        """Log a detail that helps to diagnose a fault; written at level debug only."""
         if self._is_debug:
             self._logger.debug(self._line(name, fields))
 
     def fault(self, name: str, **fields: object) -> None:
-        """Write one event that someone should look at."""
+        """Log a fault that an operator should look at."""
         if self._allowed(LineKind.STATE_CHANGE):
             self._logger.error(self._line(name, fields))
 
     def failure(self, name: str, **fields: object) -> None:
-        """Write what went wrong with a request, or was late."""
+        """Log a request that failed or was late."""
         if self._allowed(LineKind.FAILURE):
             self._logger.info(self._line(name, fields))
 
     def success(self, name: str, **fields: object) -> None:
-        """Write what became of a request that went well, for a few of many."""
+        """Log a request that succeeded; the rate limit keeps only a sample of them."""
         if self._allowed(LineKind.SUCCESS):
             self._logger.info(self._line(name, fields))
 
     def flush(self) -> bool:
-        """Wait a little for all lines to be written; return whether they are."""
+        """Wait briefly for all lines to be written; return whether they were."""
         return self._writer.flush()
 
     def _allowed(self, kind: LineKind) -> bool:
--- a/packages/ochreway-runtime/src/ochreway_runtime/looplag.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/looplag.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How long this process's own event loop has stood still."""
+"""Detection of stalls of this process's own event loop."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -7,23 +7,23 @@
 from ochreway_runtime.logs import EventLog
 
 STALL_RETENTION_S = 5.0
-"""For how long a stall is remembered; no bound on silence is longer."""
+"""How long a stall is kept; no timeout on the silence of others is longer."""
 MIN_STALL_S = 0.05
-"""From which lateness on a tick counts as a stall; scheduling alone takes a few ms."""
+"""Shortest delay of a tick that counts as a stall; scheduling alone causes a few ms."""
 MIN_LOGGED_STALL_S = 0.25
-"""From which length on a stall is logged: as long as a probe's answer is waited for."""
+"""Shortest stall that is logged: as long as the timeout of a probe."""
 
 
 @dataclass(frozen=True, slots=True)
 class Stall:
-    """Hold when the loop ran again and for how long it had not."""
+    """When a stall of the loop ended, and how long it lasted."""
 
     ended_s: float
     length_s: float
 
 
 class LoopLag:
-    """Tell own stalls, so that they are not taken for the silence of others."""
+    """Track stalls of the own event loop, so that they are not mistaken for silence of others."""
 
     def __init__(self, tick_s: float, log: EventLog) -> None:
         self._tick_s = tick_s
@@ -32,7 +32,7 @@
         self._stalls: deque[Stall] = deque()
 
     def tick(self, now_s: float) -> None:
-        """Take a tick, which was due ``tick_s`` after the one before."""
+        """Record a tick, which was due ``tick_s`` after the previous one."""
         previous_tick_s, self._last_tick_s = self._last_tick_s, now_s
         while self._stalls and now_s - self._stalls[0].ended_s > STALL_RETENTION_S:
             self._stalls.popleft()
@@ -45,7 +45,7 @@
             self._log.event("loop_stalled", stalled_s=round(length_s, 3))
 
     def stalled_since(self, since_s: float, now_s: float) -> float:
-        """Return for how long the loop stood still since a time, the running tick included."""
+        """Return for how long the loop was stalled since a time, including a current stall."""
         running_s = 0.0
         if self._last_tick_s is not None:
             running_s = max(0.0, now_s - self._last_tick_s - self._tick_s)
--- a/packages/ochreway-runtime/src/ochreway_runtime/metrics.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/metrics.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Counters and timers by statsd; without a server they cost nothing."""
+"""Counters and timings for statsd; without a server they cost nothing."""
 
 import contextlib
 
@@ -9,7 +9,7 @@
 
 
 class Metrics:
-    """Send counters and timers over UDP, and keep the counters for the status page."""
+    """Send counters and timings over UDP, and keep the counters for the status page."""
 
     def __init__(self, address: str | None, role: str) -> None:
         self.counters: dict[str, int] = {}
@@ -26,7 +26,7 @@
             self._client.incr(name, amount)
 
     def timing(self, name: str, took_s: float) -> None:
-        """Record how long something took."""
+        """Record a duration."""
         if self._client is not None:
             self._client.timing(name, took_s * 1000.0)
 
--- a/packages/ochreway-runtime/src/ochreway_runtime/metricspage.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/metricspage.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A process's counters and gauges as text, in the format that Prometheus reads."""
+"""Counters and gauges of a process in the Prometheus text format."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Mapping
@@ -12,20 +12,20 @@
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 KIND_LABEL = "kind"
-"""The label that holds what follows a counter's first name."""
+"""The label for the part of a counter's name after the first dot."""
 
 Gauges = Callable[[], Mapping[str, float]]
 
 
 class _MetricsCollector(Collector):
-    """Turn ``refused.no_group`` into a family ``refused`` with a label for each kind."""
+    """Export a counter ``refused.no_group`` as family ``refused`` with the kind as a label."""
 
     def __init__(self, metrics: Metrics, gauges: Gauges) -> None:
         self._metrics = metrics
         self._gauges = gauges
 
     def collect(self) -> Iterable[Metric]:
-        """Return the families as they stand now."""
+        """Return the current metric families."""
         families: dict[str, dict[str, int]] = defaultdict(dict)
         for name, value in self._metrics.counters.items():
             family, _, kind = name.partition(".")
@@ -42,7 +42,7 @@
 
 
 class MetricsPage:
-    """Render a process's figures."""
+    """Render the counters and gauges of a process."""
 
     def __init__(self, metrics: Metrics, gauges: Gauges = dict) -> None:
         self._registry = CollectorRegistry(auto_describe=False)
--- a/packages/ochreway-runtime/src/ochreway_runtime/option.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/option.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Settings as flags and environment variables of a command."""
+"""Declaration of settings as flags and environment variables of a command."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
--- a/packages/ochreway-runtime/src/ochreway_runtime/repeats.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/repeats.py
@@ -1,16 +1,16 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Telling of a fault that lasts without a line for each time that it is met."""
+"""Logging of a lasting fault without a line for each occurrence."""
 
 from ochreway_runtime.logs import EventLog
 
 REPEAT_INTERVAL_S = 10.0
-"""How often a lasting fault is told again, so that a page of the log always shows it."""
+"""How often a lasting fault is logged again, so that any page of the log shows it."""
 MAX_CAUSES = 8
-"""How many causes of one fault are told apart; a fault with more is told by time alone."""
+"""Bounds the causes tracked per fault; a fault with more is logged by interval alone."""
 
 
 class RepeatedFault:
-    """Log a fault at once, then with a count now and then, and log its end."""
+    """Log a fault at once, then at intervals with a count, and log its end."""
 
     def __init__(self, log: EventLog, name: str) -> None:
         """Log the fault as ``name`` and its end as ``name`` with ``_over`` added."""
@@ -21,7 +21,7 @@
         self._repeated = 0
 
     def log_occurrence(self, cause: str, now_s: float, **fields: object) -> None:
-        """Note the fault; a new cause is told at once."""
+        """Count an occurrence and log it if its cause is new or the interval has passed."""
         self._repeated += 1
         if not self._last_logged_s:
             self._since_s = now_s
@@ -33,7 +33,7 @@
         self._log.fault(self._name, cause=cause, times=self._repeated, **fields)
 
     def log_end(self, now_s: float, **fields: object) -> None:
-        """Note that all is well."""
+        """Log the end of the fault, if it had occurred."""
         if not self._last_logged_s:
             return
         lasted_s = round(now_s - self._since_s, 3)
@@ -42,7 +42,7 @@
         self._repeated = 0
 
     def _is_due(self, cause: str, now_s: float) -> bool:
-        """Tell whether a cause is new, or was told long enough ago."""
+        """Return whether a cause is new, or was last logged at least an interval ago."""
         last_s = self._last_logged_s.get(cause)
         if last_s is None and len(self._last_logged_s) < MAX_CAUSES:
             return True
--- a/packages/ochreway-runtime/src/ochreway_runtime/steadyloop.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/steadyloop.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An event loop whose time is that of the steady clock."""
+"""Event loop whose time is that of the steady clock."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -11,11 +11,11 @@
 
 
 class SteadyLoop(asyncio.SelectorEventLoop):
-    """Count suspensions in every age and every timer of a process.
+    """Event loop whose ages and timers include suspensions of the instance.
 
-    After one, what fell due meanwhile runs once the wait under way is over: at the latest after a
-    tick of the timer, and at once when anything comes in. What is read from the clock is right from
-    the first moment on.
+    Callbacks that became due during a suspension run when the current wait of the loop ends: at the
+    latest after a tick of the timer, and at once if any input arrives. Times read from the clock
+    are correct immediately.
     """
 
     def __init__(self, clock: Callable[[], float] = steadyclock.now_s) -> None:
@@ -23,12 +23,12 @@
         self._read_clock = clock
 
     def time(self) -> float:
-        """Return the time, in seconds."""
+        """Return the time in seconds."""
         return self._read_clock()
 
 
 def run(work: Coroutine[Any, Any, T]) -> T:
-    """Run a process's main task under such a loop."""
+    """Run a process's main task on a ``SteadyLoop``."""
     with asyncio.Runner(loop_factory=SteadyLoop) as runner:
         return runner.run(work)
 
--- a/packages/ochreway-runtime/src/ochreway_runtime/suspension.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/suspension.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Telling that the instance was suspended, by two clocks that part."""
+"""Detection of suspensions of the instance by comparing two clocks."""
 
 import time
 from collections.abc import Callable
@@ -9,11 +9,11 @@
 from ochreway_runtime.metrics import Metrics
 
 MIN_SUSPENSION_S = 0.05
-"""From which length on a suspension counts; readings of the two clocks are microseconds apart."""
+"""Shortest suspension that counts; the two clocks are read within microseconds of each other."""
 
 
 class SuspensionDetector:
-    """Write a line for each suspension; every age counts it already."""
+    """Log each suspension; the ages and timers of the process already include it."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         return self._steady_clock() - self._monotonic_clock()
 
     def tick(self, _: float) -> None:
-        """Look whether the clocks have parted since the last look."""
+        """Check whether the offset between the clocks has grown since the last tick."""
         offset_s = self._read_offset()
         length_s = offset_s - self._offset_s
         self._offset_s = offset_s
--- a/packages/ochreway-runtime/src/ochreway_runtime/timer.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/timer.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The timer service: one steady tick that parts subscribe to."""
+"""Timer service: a single periodic tick that components subscribe to."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class TimerService:
-    """Emit the loop's time once a tick; a part subscribes at its own pace."""
+    """Emit the loop's time once per tick; each subscriber chooses its own period."""
 
     def __init__(self, tick_s: float) -> None:
         self._tick_s = tick_s
@@ -23,7 +23,7 @@
         return self._ticks
 
     def every(self, period_s: float, call: Callable[[float], None]) -> DisposableBase:
-        """Call at the first tick after each period."""
+        """Call a function at the first tick after each period."""
         due_s = [0.0]
 
         def is_due(now_s: float) -> bool:
--- a/tests/runtime/recordedlog.py
+++ b/tests/runtime/recordedlog.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A log that keeps what would be written."""
+"""Event log that records events instead of writing them."""
 
 from ochreway_runtime.logs import EventLog
 
 
 class RecordedLog(EventLog):
-    """Keep the names of events with their fields."""
+    """Record the names and fields of events."""
 
     def __init__(self) -> None:
         self.events: list[tuple[str, dict[str, object]]] = []
--- a/tests/runtime/test_steadyloop.py
+++ b/tests/runtime/test_steadyloop.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A suspension counts in every age and every timer."""
+"""Ages and timers include the time for which the instance is suspended."""
 
 import asyncio
 import time
@@ -20,7 +20,7 @@
 
 
 class SuspendableClock:
-    """Stand for the clock of an instance that is suspended now and then."""
+    """Simulate the clocks of an instance that is suspended at times."""
 
     def __init__(self) -> None:
         self.suspended_s = 0.0
