--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleetview.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleetview.py
@@ -21,8 +21,8 @@
 class FleetView:
     """Keep the newest update and list; use the list while no update is recent."""
 
-    def __init__(self, stale_s: float) -> None:
-        self._stale_s = stale_s
+    def __init__(self, list_max_age_s: float) -> None:
+        self._list_max_age_s = list_max_age_s
         self._update: FleetUpdate | None = None
         self._updated_s = NEVER_S
         self._update_listed_s = NEVER_S
@@ -165,7 +165,7 @@
 
     def list_is_stale(self, now_s: float) -> bool:
         """Return whether the list is too old, so that this entry has to read it itself."""
-        return now_s - self._listed_s > self._stale_s
+        return now_s - self._listed_s > self._list_max_age_s
 
     def listed_age_s(self, now_s: float) -> float | None:
         """Return the age of the list, or None before it was read."""
--- a/packages/ochreway-direct/src/ochreway_direct/main.py
+++ b/packages/ochreway-direct/src/ochreway_direct/main.py
@@ -91,11 +91,11 @@
 @option("--link-mbps", 0.0, "Bandwidth of this instance's link; 0: unknown.")
 @option("--without", "", "Comma-separated mechanisms to disable; for measurements.")
 @click.option("--check", "only_check", is_flag=True, help="Print the settings and stop.")
-def main(only_check: bool, **given: Any) -> None:
+def main(only_check: bool, **options: Any) -> None:
     """Accept callers' requests and send them directly to targets."""
     for name in ("peer", "without", "hall_regions"):
-        given[name] = tuple(each for each in given[name].split(",") if each)
-    settings = DirectSettings(**given)
+        options[name] = tuple(each for each in options[name].split(",") if each)
+    settings = DirectSettings(**options)
     try:
         check(settings)
     except SettingsInvalid as fault:
--- a/packages/ochreway-direct/src/ochreway_direct/planlog.py
+++ b/packages/ochreway-direct/src/ochreway_direct/planlog.py
@@ -80,8 +80,10 @@
     )
 
 
-def _demand_changed(before: float, need: float) -> bool:
-    return abs(need - before) > max(MIN_DEMAND_CHANGE, MIN_DEMAND_CHANGE_SHARE * max(before, need))
+def _demand_changed(before: float, demand: float) -> bool:
+    return abs(demand - before) > max(
+        MIN_DEMAND_CHANGE, MIN_DEMAND_CHANGE_SHARE * max(before, demand)
+    )
 
 
 __all__ = ["MIN_LOG_GAP_S", "PlanLog", "slots_text"]
--- a/tests/direct/test_drainspread.py
+++ b/tests/direct/test_drainspread.py
@@ -76,11 +76,11 @@
     def test_an_entry_that_never_read_the_store_follows_the_heartbeats(self) -> None:
         def work(world: SpreadWorld) -> None:
             node, previous = list(world.entries.items())[-1]
-            world.entries[node] = again = SpreadEntry(world, previous.me, (), 24)
+            world.entries[node] = restarted = SpreadEntry(world, previous.me, (), 24)
             for other in list(world.entries.values())[:3]:
                 world.introduce(previous.me.peer, other.me.peer.address)
             world.run(3.0)
-            self.assertTrue(again.drains.known)
+            self.assertTrue(restarted.drains.known)
             self.drain(world)
             world.run(PROPAGATION_S)
             self.assertIn(node, self.entries_aware(world))
@@ -111,16 +111,16 @@
             first.drains.on_store_reading(DrainedHalls(6, (DRAINED,)), world.now_s)
             world.run(HALL_DRAIN_S)
             node, former = list(world.entries.items())[-1]
-            world.entries[node] = again = SpreadEntry(world, former.me, (), 24)
-            again.serving.routes = None
-            asked: list[bool] = []
-            again.heartbeats._request_version = (  # type: ignore[method-assign]
-                lambda ahead, now_s: asked.append(again.drains.known)
+            world.entries[node] = restarted = SpreadEntry(world, former.me, (), 24)
+            restarted.serving.routes = None
+            drains_known: list[bool] = []
+            restarted.heartbeats._request_version = (  # type: ignore[method-assign]
+                lambda ahead, now_s: drains_known.append(restarted.drains.known)
             )
             world.introduce(former.me.peer, first.me.peer.address)
             world.run(3.0)
-            self.assertTrue(asked)
-            self.assertEqual({True}, set(asked))
+            self.assertTrue(drains_known)
+            self.assertEqual({True}, set(drains_known))
             self.assertIn(node, self.closed(world))
 
         self.run_world(5, work)
@@ -132,8 +132,8 @@
 
     def _work_after_restart(self, started_later_s: float, closed: bool, world: SpreadWorld) -> None:
         node, former = list(world.entries.items())[-1]
-        world.entries[node] = again = SpreadEntry(world, former.me, (), 24)
-        again.heartbeats._started_s = world.now_s + started_later_s
+        world.entries[node] = restarted = SpreadEntry(world, former.me, (), 24)
+        restarted.heartbeats._started_s = world.now_s + started_later_s
         for other in list(world.entries.values())[:3]:
             world.introduce(former.me.peer, other.me.peer.address)
         world.run(3.0)
--- a/tests/direct/test_earlylistener.py
+++ b/tests/direct/test_earlylistener.py
@@ -43,10 +43,10 @@
         self.assertIsNone(earlylistener.claim_socket(early))
 
     def test_an_address_in_use_is_left_to_the_regular_listener(self) -> None:
-        with socket.socket() as other:
-            other.bind(("127.0.0.1", 0))
-            other.listen()
-            address = f"127.0.0.1:{other.getsockname()[1]}"
+        with socket.socket() as occupied:
+            occupied.bind(("127.0.0.1", 0))
+            occupied.listen()
+            address = f"127.0.0.1:{occupied.getsockname()[1]}"
             self.listen(address)
             self.assertIsNone(earlylistener.claim_socket(address))
 
--- a/tests/direct/test_fleetpublisher.py
+++ b/tests/direct/test_fleetpublisher.py
@@ -18,8 +18,8 @@
 
 
 def content(*groups: GroupView, lost: tuple[str, ...] = (), leaving: str = "") -> FleetContent:
-    gone = (InstanceId(leaving),) if leaving else ()
-    return FleetContent.build(groups, map(GroupId, lost), (), gone)
+    leaving_instances = (InstanceId(leaving),) if leaving else ()
+    return FleetContent.build(groups, map(GroupId, lost), (), leaving_instances)
 
 
 class FleetPublisherTests(testtools.TestCase):
@@ -29,22 +29,22 @@
         self.view = FleetView(1.4)
 
     def publish(self, lease: int, published: FleetContent) -> FleetUpdate | FleetChange | None:
-        news = self.publisher.next_message(lease, published, 0.1)
-        if isinstance(news, FleetUpdate):
-            self.assertTrue(self.view.apply_update(news, 10.0))
-        elif news is not None:
-            self.assertTrue(self.view.apply_change(news, 10.0))
-        return news
+        message = self.publisher.next_message(lease, published, 0.1)
+        if isinstance(message, FleetUpdate):
+            self.assertTrue(self.view.apply_update(message, 10.0))
+        elif message is not None:
+            self.assertTrue(self.view.apply_change(message, 10.0))
+        return message
 
     def shown(self) -> dict[str, float]:
         return {each.group: each.pace for each in self.view.groups(10.0)}
 
     def test_each_lease_begins_with_a_full_update_and_continues_with_changes(self) -> None:
         self.assertIsInstance(self.publish(1, content(view("a"), view("b"))), FleetUpdate)
-        news = self.publish(1, content(view("a", 2.0), view("c")))
-        assert isinstance(news, FleetChange)
-        self.assertEqual({"a", "c"}, {each.group for each in news.groups})
-        self.assertEqual(("b",), news.gone)
+        message = self.publish(1, content(view("a", 2.0), view("c")))
+        assert isinstance(message, FleetChange)
+        self.assertEqual({"a", "c"}, {each.group for each in message.groups})
+        self.assertEqual(("b",), message.gone)
         self.assertEqual({"a": 2.0, "c": 1.0}, self.shown())
         self.assertIsInstance(self.publish(2, content(view("c"))), FleetUpdate)
         self.assertEqual({"c": 1.0}, self.shown())
--- a/tests/direct/test_resourcewatch.py
+++ b/tests/direct/test_resourcewatch.py
@@ -58,8 +58,8 @@
         pressure = Pressure(0.9, 0.8)
         shares = (0.85, 0.9, 0.85, 0.8, 0.79, 0.85)
         seen = [(pressure.update(share, 1.0), pressure.near) for share in shares]
-        quiet, near = (False, False), (False, True)
-        self.assertEqual([quiet, (True, True), near, near, (True, False), quiet], seen)
+        far, near = (False, False), (False, True)
+        self.assertEqual([far, (True, True), near, near, (True, False), far], seen)
 
     def test_pressure_ends_after_a_while_where_use_stays_between_both_shares(self) -> None:
         pressure = Pressure(0.9, 0.8)
--- a/tests/direct/test_sharing.py
+++ b/tests/direct/test_sharing.py
@@ -92,9 +92,9 @@
         def work(world: SpreadWorld) -> None:
             for entry in world.entries.values():
                 entry.serving.freshness.prove(world.now_s)
-            asking = [self.versions(e).poll_wait_s() for e in world.entries.values()]
+            waits_s = [self.versions(e).poll_wait_s() for e in world.entries.values()]
             many = len(world.entries) > 24
-            self.assertEqual(2 if many else len(asking), sum(each is not None for each in asking))
+            self.assertEqual(2 if many else len(waits_s), sum(each is not None for each in waits_s))
 
         for entries in (5, 36):
             self.run_world(entries, work)
@@ -130,8 +130,10 @@
         def work(world: SpreadWorld) -> None:
             head = self.head_with_members(world)
             self.versions(head).on_applied(Configuration(Version(9)))
-            told = {peer for peer, each in self.links.sent if isinstance(each, ConfigurationUpdate)}
-            self.assertEqual(set(head.heartbeats.members()), told)
+            recipients = {
+                peer for peer, each in self.links.sent if isinstance(each, ConfigurationUpdate)
+            }
+            self.assertEqual(set(head.heartbeats.members()), recipients)
 
         self.run_world(36, work)
 
@@ -141,11 +143,11 @@
         def work(world: SpreadWorld) -> None:
             head = self.head_with_members(world)
             members = head.heartbeats.members()
-            part = sharing(head, self.links, self.log)
-            part.on_fleet_message(members[0], UPDATE)
-            part.on_fleet_message(members[0], OLDER)
-            told = [peer for peer, each in self.links.sent if each == UPDATE]
-            self.assertEqual(sorted(members[1:], key=str), sorted(told, key=str))
+            fleet_sharing = sharing(head, self.links, self.log)
+            fleet_sharing.on_fleet_message(members[0], UPDATE)
+            fleet_sharing.on_fleet_message(members[0], OLDER)
+            recipients = [peer for peer, each in self.links.sent if each == UPDATE]
+            self.assertEqual(sorted(members[1:], key=str), sorted(recipients, key=str))
             self.assertTrue(head.fleet.has_serving_group(SERVICE))
 
         self.run_world(36, work)
@@ -153,11 +155,11 @@
     def test_a_request_is_answered_with_the_full_view(self) -> None:
         def work(world: SpreadWorld) -> None:
             one, other = list(world.entries.values())[:2]
-            part = sharing(one, self.links, self.log)
-            part.on_request(other.me.peer, FleetRequest())
+            fleet_sharing = sharing(one, self.links, self.log)
+            fleet_sharing.on_request(other.me.peer, FleetRequest())
             self.assertEqual([], self.links.sent)
-            part.on_fleet_message(other.me.peer, UPDATE)
-            part.on_request(other.me.peer, FleetRequest())
+            fleet_sharing.on_fleet_message(other.me.peer, UPDATE)
+            fleet_sharing.on_request(other.me.peer, FleetRequest())
             peer, update = self.links.sent[-1]
             assert isinstance(update, FleetUpdate)
             self.assertEqual((other.me.peer, (GROUP,)), (peer, update.groups))
@@ -167,13 +169,13 @@
     def test_a_new_holder_republishes_the_last_groups_until_it_has_polled_the_engines(self) -> None:
         def work(world: SpreadWorld) -> None:
             one, other = list(world.entries.values())[:2]
-            part = sharing(one, self.links, self.log)
-            part.on_fleet_message(other.me.peer, UPDATE)
+            fleet_sharing = sharing(one, self.links, self.log)
+            fleet_sharing.on_fleet_message(other.me.peer, UPDATE)
             one.lease.state, one.lease.acquired_revision = LeaseState.HELD, 7
-            part.publish()
-            told = [each for _, each in self.links.sent if isinstance(each, FleetUpdate)]
-            self.assertEqual({(7, (GROUP,))}, {(e.lease_revision, e.groups) for e in told})
-            self.assertEqual(len(world.entries) - 1, len(told))
+            fleet_sharing.publish()
+            published = [each for _, each in self.links.sent if isinstance(each, FleetUpdate)]
+            self.assertEqual({(7, (GROUP,))}, {(e.lease_revision, e.groups) for e in published})
+            self.assertEqual(len(world.entries) - 1, len(published))
 
         self.run_world(5, work)
 
