--- a/packages/ochreway-direct/src/ochreway_direct/coordination.py
+++ b/packages/ochreway-direct/src/ochreway_direct/coordination.py
@@ -31,6 +31,7 @@
 
 Spawn = Callable[[Coroutine[None, None, None]], object]
 SUMMARY_INTERVAL_S = 1.0
+"""How often a summary of each domain is logged in detail."""
 MAX_STALL_SHARE = 0.3
 """Maximum share of a probe's timeout that this process may stall for a missing answer to count.
 
--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -85,6 +85,7 @@
 SUSPECT_SILENCE_S = 0.3
 """How long all answers of a group have to stall before its members are probed at once."""
 SUSPECT_INTERVAL_S = 0.15
+"""How often silent groups are looked for, and the minimum time between suspicions of one group."""
 
 
 class DirectEntry:
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/fleet.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/fleet.py
@@ -20,6 +20,7 @@
 OTHER_HALL_LOAD = 0.5
 """Load, in requests, that is added to targets in other halls, so that local ones are preferred."""
 JITTER_LOAD = 0.9
+"""Maximum random load, in requests, that varies the choice among similarly loaded targets."""
 SAMPLED_GROUPS = 3
 """Number of randomly sampled groups among which the best is chosen.
 
--- a/packages/ochreway-direct/src/ochreway_direct/fleets/targethealth.py
+++ b/packages/ochreway-direct/src/ochreway_direct/fleets/targethealth.py
@@ -4,7 +4,9 @@
 from dataclasses import dataclass
 
 SMOOTHING_WEIGHT = 0.2
+"""Weight of the latest attempt in the moving average."""
 MAX_EXTRA_PENALTY = 20.0
+"""Increase of the cost factor of a target at which every attempt fails."""
 
 
 @dataclass(slots=True)
--- a/packages/ochreway-direct/src/ochreway_direct/noticewatch.py
+++ b/packages/ochreway-direct/src/ochreway_direct/noticewatch.py
@@ -141,7 +141,7 @@
 
 
 def _drop_oldest(states: dict[InstanceId, Any]) -> None:
-    """Drop the oldest entry if there are more than ``MAX_TARGETS``."""
+    """Drop the oldest item if there are more than ``MAX_TARGETS``."""
     if len(states) > MAX_TARGETS:
         del states[next(iter(states))]
 
