--- a/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
@@ -160,9 +160,9 @@
         if allowed and self._budget.spend():
             return
         reason = Reason.DEADLINE_PASSED if left_s <= 0 else ending.reason
-        requested_wait_s = self._requested_wait_s(call, now_s)
-        if requested_wait_s > self._tuning.retry_after_s:
-            raise refusal_of(call, reason, requested_wait_s)
+        requested_s = self._candidate_wait_s(call, now_s)
+        if requested_s > self._tuning.retry_after_s:
+            raise refusal_of(call, reason, requested_s)
         raise self._give_up(call, reason, self._tuning.retry_after_s)
 
     async def _choose_candidate(self, call: Call) -> Attempt:
@@ -180,7 +180,7 @@
                 return chosen
             if not call.begun and self._all_closed(call):
                 raise self._give_up(call, Reason.HALL_DRAINED, self._tuning.retry_after_regroup_s)
-            if now_s + self._requested_wait_s(call, now_s) >= until_s:
+            if now_s + self._candidate_wait_s(call, now_s) >= until_s:
                 call.waited_s += now_s - begun_s
                 raise self._no_candidate_error(call, now_s)
             await asyncio.sleep(self._tuning.candidate_poll_interval_s)
@@ -188,17 +188,17 @@
     def _no_candidate_error(self, call: Call, now_s: float) -> Refused | AnswerBroken:
         """Return the error for a call that no target can take, by what would have to change."""
         model, after_s = call.terms.model, self._tuning.retry_after_regroup_s
-        requested_wait_s = self._requested_wait_s(call, now_s)
-        if requested_wait_s > 0.0:
+        requested_s = self._candidate_wait_s(call, now_s)
+        if requested_s > 0.0:
             # The full time: after a shorter one the caller would only be refused again.
-            return refusal_of(call, self._wait_reason(call, now_s), requested_wait_s)
+            return refusal_of(call, self._wait_reason(call, now_s), requested_s)
         wait_s = self._fleet.send_wait_s(call.service, model, call.allowed_halls, now_s)
         if wait_s > 0.0:
             return self._give_up(call, Reason.SEND_LIMIT, min(wait_s, after_s))
         full = self._fleet.has_group(call.service, model, call.allowed_halls)
         return self._give_up(call, Reason.QUEUE_FULL if full else Reason.NO_GROUP, after_s)
 
-    def _requested_wait_s(self, call: Call, now_s: float) -> float:
+    def _candidate_wait_s(self, call: Call, now_s: float) -> float:
         """Return how soon a target takes requests again; 0 if one does now, or there is none."""
         return self._fleet.requested_wait_s(
             call.service, call.terms.model, call.allowed_halls, now_s
