--- a/packages/ochreway-cli/src/ochreway_cli/porcelain.py
+++ b/packages/ochreway-cli/src/ochreway_cli/porcelain.py
@@ -26,7 +26,7 @@
 from ochreway_core.rows import BundleRow, RollRow, approval_key, bundle_key, head_key, roll_key
 from ochreway_core.signoff import Approval, approve
 from ochreway_core.table import ABSENT, Condition, Transaction
-from ochreway_core.view import Snapshot, key_keepers, snapshot_of
+from ochreway_core.view import Snapshot, key_keepers, make_snapshot
 from ochreway_platform.errors import ObjectMissing, ObjectStoreUnavailable
 from ochreway_platform.objectstore import ObjectStore
 from ochreway_platform.table import Table
@@ -214,7 +214,7 @@
             await self._commit_roll(roll, current.revision if current else ABSENT)
         except RaceLost as fault:
             raise RaceLost(await self._who_won(roll)) from fault
-        return snapshot_of(roll, body, tuple(approvals))
+        return make_snapshot(roll, body, tuple(approvals))
 
     async def _next_roll(self, former: RollRow | None, bundle: BundleRow, operator: str) -> RollRow:
         now_wall_s = time.time()
--- a/packages/ochreway-core/src/ochreway_core/attemptledger.py
+++ b/packages/ochreway-core/src/ochreway_core/attemptledger.py
@@ -11,16 +11,16 @@
 from ochreway_core.peer import Peer
 from ochreway_core.reason import Reason
 
-RETAINED_BYTES = 256 * 1024
-RESUMABLE_S = 10.0
-SWEEP_S = 5.0
+MAX_RETAINED_BYTES = 256 * 1024
+RESUME_WINDOW_S = 10.0
+SWEEP_INTERVAL_S = 5.0
 
 
 class AttemptState(Enum):
     """Say how far an attempt has come at the agent."""
 
     QUEUED = "queued"
-    HANDED = "handed"
+    HANDED_OVER = "handed"
     DONE = "done"
 
 
@@ -28,8 +28,8 @@
 class Answer:
     """Keep what an answer holds so far, so that it can be resumed on a new link."""
 
-    kept: bytearray = field(default_factory=bytearray)
-    kept_from: int = 0
+    retained: bytearray = field(default_factory=bytearray)
+    retained_from: int = 0
     tokens: int = 0
     status: int = 0
     content_type: str = ""
@@ -39,26 +39,26 @@
     @property
     def length(self) -> int:
         """Return how many bytes the target has given."""
-        return self.kept_from + len(self.kept)
+        return self.retained_from + len(self.retained)
 
     def add(self, payload: bytes) -> None:
         """Keep a piece, and forget the oldest bytes beyond the bound."""
-        self.kept += payload
-        excess = len(self.kept) - RETAINED_BYTES
+        self.retained += payload
+        excess = len(self.retained) - MAX_RETAINED_BYTES
         if excess > 0:
-            del self.kept[:excess]
-            self.kept_from += excess
+            del self.retained[:excess]
+            self.retained_from += excess
 
-    def drop(self) -> None:
+    def drop_bytes(self) -> None:
         """Forget every byte, but not how many there were."""
-        self.kept_from = self.length
-        self.kept.clear()
+        self.retained_from = self.length
+        self.retained.clear()
 
     def since(self, offset: int) -> bytes | None:
         """Return what follows the offset, or ``None`` when that is not kept any more."""
-        if not self.kept_from <= offset <= self.length:
+        if not self.retained_from <= offset <= self.length:
             return None
-        return bytes(self.kept[offset - self.kept_from :])
+        return bytes(self.retained[offset - self.retained_from :])
 
 
 @dataclass(slots=True)
@@ -66,7 +66,7 @@
     """Hold one attempt's state and answer."""
 
     state: AttemptState
-    forget_s: float
+    forget_after_s: float
     submit: Submit | None = None
     entry: Peer | None = None
     deadline_s: float = 0.0
@@ -81,7 +81,7 @@
     def __init__(self) -> None:
         self._records: dict[AttemptId, AttemptRecord] = {}
         self._resumable: deque[tuple[float, AttemptRecord]] = deque()
-        self._sweep_s = 0.0
+        self._next_sweep_s = 0.0
 
     def __len__(self) -> int:
         return len(self._records)
@@ -94,24 +94,24 @@
         """Remember a new attempt."""
         self._records[attempt] = record
 
-    def forget(self, now_s: float) -> None:
+    def expire(self, now_s: float) -> None:
         """Drop the answers of attempts that ended a while ago, and later the attempts."""
         while self._resumable and self._resumable[0][0] < now_s:
-            self._resumable.popleft()[1].answer.drop()
-        if now_s < self._sweep_s:
+            self._resumable.popleft()[1].answer.drop_bytes()
+        if now_s < self._next_sweep_s:
             return
-        self._sweep_s = now_s + SWEEP_S
-        old = [
+        self._next_sweep_s = now_s + SWEEP_INTERVAL_S
+        expired = [
             attempt
             for attempt, record in self._records.items()
-            if record.state is AttemptState.DONE and record.forget_s < now_s
+            if record.state is AttemptState.DONE and record.forget_after_s < now_s
         ]
-        for attempt in old:
+        for attempt in expired:
             del self._records[attempt]
 
-    def answered(self, record: AttemptRecord, now_s: float) -> None:
+    def retain_answer(self, record: AttemptRecord, now_s: float) -> None:
         """Keep a whole answer for as long as its entry may ask for it again."""
-        self._resumable.append((now_s + RESUMABLE_S, record))
+        self._resumable.append((now_s + RESUME_WINDOW_S, record))
 
 
-__all__ = ["RETAINED_BYTES", "Answer", "AttemptLedger", "AttemptRecord", "AttemptState"]
+__all__ = ["MAX_RETAINED_BYTES", "Answer", "AttemptLedger", "AttemptRecord", "AttemptState"]
--- a/packages/ochreway-core/src/ochreway_core/backoff.py
+++ b/packages/ochreway-core/src/ochreway_core/backoff.py
@@ -14,11 +14,11 @@
     random: random.Random
     failures: int = 0
 
-    def succeeded(self) -> None:
+    def reset(self) -> None:
         """Start again from the base."""
         self.failures = 0
 
-    def failed(self) -> float:
+    def next_delay_s(self) -> float:
         """Return how long to wait after one more failure."""
         bound_s = min(self.max_s, self.base_s * 2.0 ** min(self.failures, 16))
         self.failures += 1
--- a/packages/ochreway-core/src/ochreway_core/bodydelta.py
+++ b/packages/ochreway-core/src/ochreway_core/bodydelta.py
@@ -21,18 +21,18 @@
 def delta_between(base: bytes, body: bytes) -> BodyDelta:
     """Return what turns the base into the body."""
     beginning = len(os.path.commonprefix([base, body]))
-    room = min(len(base), len(body)) - beginning
-    end = min(room, len(os.path.commonprefix([base[::-1], body[::-1]])))
+    max_end = min(len(base), len(body)) - beginning
+    end = min(max_end, len(os.path.commonprefix([base[::-1], body[::-1]])))
     return BodyDelta(beginning, end, zlib.compress(body[beginning : len(body) - end], 9))
 
 
-def apply_delta(base: bytes, delta: BodyDelta, at_most: int) -> bytes:
+def apply_delta(base: bytes, delta: BodyDelta, max_bytes: int) -> bytes:
     """Return the body that a delta makes of the base.
 
     Raises:
         zlib.error: when the delta does not unpack.
     """
-    middle = zlib.decompressobj().decompress(delta.packed, at_most)
+    middle = zlib.decompressobj().decompress(delta.packed, max_bytes)
     return base[: delta.beginning] + middle + base[len(base) - delta.end :]
 
 
--- a/packages/ochreway-core/src/ochreway_core/bundle.py
+++ b/packages/ochreway-core/src/ochreway_core/bundle.py
@@ -214,15 +214,15 @@
     """
     try:
         content = tomllib.loads(body.decode())
-    except UnicodeDecodeError as fault:
-        return Err([f"byte {fault.start}: not UTF-8; save the file as UTF-8"])
-    except tomllib.TOMLDecodeError as fault:
+    except UnicodeDecodeError as error:
+        return Err([f"byte {error.start}: not UTF-8; save the file as UTF-8"])
+    except tomllib.TOMLDecodeError as error:
         last = f"at line {len(body.splitlines())}, the last"
-        return Err([f"not TOML: {str(fault).replace('at end of document', last)}"])
+        return Err([f"not TOML: {str(error).replace('at end of document', last)}"])
     try:
         return Ok(Bundle.model_validate(content))
-    except ValidationError as fault:
-        return Err([_describe(item["loc"], item["msg"]) for item in fault.errors()])
+    except ValidationError as error:
+        return Err([_describe(item["loc"], item["msg"]) for item in error.errors()])
 
 
 def _describe(path: tuple[int | str, ...], text: str) -> str:
--- a/packages/ochreway-core/src/ochreway_core/claimround.py
+++ b/packages/ochreway-core/src/ochreway_core/claimround.py
@@ -22,7 +22,7 @@
 class ClaimRound:
     """Count votes; a claim is won with a majority of every set of homes."""
 
-    sets: list[frozenset[NodeId]]
+    home_sets: list[frozenset[NodeId]]
     give_up_s: float
     votes: dict[NodeId, Vote] = field(default_factory=dict)
     holder_outcome: Outcome = Outcome.UNKNOWN
@@ -30,9 +30,9 @@
     @property
     def homes(self) -> frozenset[NodeId]:
         """Return every home that is asked."""
-        return frozenset().union(*self.sets)
+        return frozenset().union(*self.home_sets)
 
-    def voted(self, node: NodeId, vote: Vote, outcome: Outcome) -> None:
+    def record_vote(self, node: NodeId, vote: Vote, outcome: Outcome) -> None:
         """Count a vote; the first one of a home stands."""
         self.votes.setdefault(node, vote)
         if vote is Vote.TAKEN and outcome is Outcome.ANSWERED:
@@ -40,15 +40,15 @@
 
     def state(self) -> ClaimState:
         """Return how the claim stands by the votes so far."""
-        if not self.sets:
+        if not self.home_sets:
             return ClaimState.LOST
-        if all(self._granted(each) >= _majority(each) for each in self.sets):
+        if all(self._granted(each) >= _majority(each) for each in self.home_sets):
             return ClaimState.WON
-        if all(self._possible(each) >= _majority(each) for each in self.sets):
+        if all(self._possible(each) >= _majority(each) for each in self.home_sets):
             return ClaimState.OPEN
-        return self.state_at_last()
+        return self.final_state()
 
-    def state_at_last(self) -> ClaimState:
+    def final_state(self) -> ClaimState:
         """Return what a claim that can no longer be won came to."""
         taken = Vote.TAKEN in self.votes.values()
         return ClaimState.TAKEN if taken else ClaimState.LOST
--- a/packages/ochreway-core/src/ochreway_core/codec.py
+++ b/packages/ochreway-core/src/ochreway_core/codec.py
@@ -71,8 +71,8 @@
     try:
         read: Reader = _reader(kind)
         built: T = read(dict(zip(names, values, strict=True)))
-    except CodecError as fault:
-        raise CodecError(f"{kind.__name__}: {fault}") from None
+    except CodecError as error:
+        raise CodecError(f"{kind.__name__}: {error}") from None
     return built
 
 
@@ -89,8 +89,8 @@
     """
     try:
         values = cbor2.loads(content)
-    except (cbor2.CBORDecodeError, ValueError, EOFError) as fault:
-        raise CodecError(f"{kind.__name__}: {fault}") from None
+    except (cbor2.CBORDecodeError, ValueError, EOFError) as error:
+        raise CodecError(f"{kind.__name__}: {error}") from None
     if not isinstance(values, list):
         raise CodecError(f"{kind.__name__}: not a list of fields")
     return from_fields(kind, values)
--- a/packages/ochreway-core/src/ochreway_core/fingerprint.py
+++ b/packages/ochreway-core/src/ochreway_core/fingerprint.py
@@ -13,9 +13,9 @@
     """Return the fingerprint of a request; its id does not count, as each try has its own."""
     hashed = hashlib.blake2b(body, digest_size=FINGERPRINT_BYTES)
     # Lengths go first, so that no text can be taken for the end of another.
-    asked = f"{len(body)},{len(caller)},{len(method)}:{caller}{method}{path}"
+    header = f"{len(body)},{len(caller)},{len(method)}:{caller}{method}{path}"
     # A path may hold bytes that are no text, which its reader has kept as surrogates.
-    hashed.update(asked.encode(errors="surrogatepass"))
+    hashed.update(header.encode(errors="surrogatepass"))
     return Fingerprint(hashed.hexdigest())
 
 
--- a/packages/ochreway-core/src/ochreway_core/gate.py
+++ b/packages/ochreway-core/src/ochreway_core/gate.py
@@ -8,16 +8,16 @@
 from ochreway_core.reason import Reason
 from ochreway_core.rows import GroupRow
 
-SENT_REMEMBERED = 16
+MAX_SENT_HEARTBEATS = 16
 
 
 @dataclass(slots=True)
 class _MemberState:
-    until_s: float = 0.0
+    granted_until_s: float = 0.0
     ready: bool = False
     leaving: bool = False
     granted_once: bool = False
-    answered: int = 0
+    last_answered: int = 0
     """The newest heartbeat that the member has answered."""
 
 
@@ -29,58 +29,58 @@
     ttl_s: float
     began_s: float = 0.0
     sequence: int = 0
-    _sent_s: dict[int, float] = field(default_factory=dict)
+    _heartbeat_sent_s: dict[int, float] = field(default_factory=dict)
     _members: dict[NodeId, _MemberState] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self._members = {peer.node: _MemberState() for peer in self.row.everyone}
+        self._members = {peer.node: _MemberState() for peer in self.row.all_peers}
 
     def _active(self) -> list[_MemberState]:
         return [self._members[peer.node] for peer in self.row.members]
 
-    def advance(self, row: GroupRow) -> None:
+    def update_row(self, row: GroupRow) -> None:
         """Take a later step of the same epoch; the grants stay."""
         self.row = row
 
     def next_heartbeat(self, now_s: float) -> int:
         """Return the sequence number of a heartbeat that is sent now."""
         self.sequence += 1
-        self._sent_s[self.sequence] = now_s
-        self._sent_s.pop(self.sequence - SENT_REMEMBERED, None)
+        self._heartbeat_sent_s[self.sequence] = now_s
+        self._heartbeat_sent_s.pop(self.sequence - MAX_SENT_HEARTBEATS, None)
         return self.sequence
 
-    def granted(self, node: NodeId, sequence: int, ready: bool, leaving: bool) -> None:
+    def record_grant(self, node: NodeId, sequence: int, ready: bool, leaving: bool) -> None:
         """Count a member's grant."""
         member = self._members.get(node)
-        sent_s = self._sent_s.get(sequence)
+        sent_s = self._heartbeat_sent_s.get(sequence)
         if member is None or sent_s is None:
             return
-        if sent_s + self.ttl_s < member.until_s:
+        if sent_s + self.ttl_s < member.granted_until_s:
             return
-        member.until_s = sent_s + self.ttl_s
+        member.granted_until_s = sent_s + self.ttl_s
         member.ready = ready
         member.leaving = leaving
         member.granted_once = True
 
-    def answered(self, node: NodeId, sequence: int) -> None:
+    def record_reply(self, node: NodeId, sequence: int) -> None:
         """Note that a member answered a heartbeat, by a grant or a refusal."""
         member = self._members.get(node)
-        if member is not None and sequence in self._sent_s:
-            member.answered = max(member.answered, sequence)
+        if member is not None and sequence in self._heartbeat_sent_s:
+            member.last_answered = max(member.last_answered, sequence)
 
-    def all_heard(self, sequence: int, now_s: float, but: NodeId) -> bool:
+    def all_answered(self, sequence: int, now_s: float, excluded: NodeId) -> bool:
         """Tell whether all others answered a heartbeat or a later one, or are known to be gone."""
         return all(
-            member.answered >= sequence or now_s >= member.until_s
+            member.last_answered >= sequence or now_s >= member.granted_until_s
             for node, member in self._members.items()
-            if node != but
+            if node != excluded
         )
 
     def knows_row(self, node: NodeId) -> bool:
         """Tell whether the member has granted this epoch at least once."""
         return self._members[node].granted_once
 
-    def forgot_row(self, node: NodeId) -> None:
+    def mark_row_unknown(self, node: NodeId) -> None:
         """Note that the member does not know the row, as after its restart."""
         member = self._members.get(node)
         if member is not None:
@@ -93,36 +93,36 @@
     def missing(self, now_s: float) -> tuple[NodeId, ...]:
         """Return the members whose grants are not fresh."""
         members = (peer.node for peer in self.row.members)
-        return tuple(node for node in members if now_s >= self._members[node].until_s)
+        return tuple(node for node in members if now_s >= self._members[node].granted_until_s)
 
-    def lost(self, now_s: float, after_s: float) -> list[Peer]:
+    def lost_members(self, now_s: float, after_s: float) -> list[Peer]:
         """Return the members whose grants lapsed that long ago, or never came."""
         since_s = self.began_s + self.ttl_s
         return [
             peer
             for peer in self.row.members
-            if now_s - max(self._members[peer.node].until_s, since_s) > after_s
+            if now_s - max(self._members[peer.node].granted_until_s, since_s) > after_s
         ]
 
-    def able_standbys(self, now_s: float) -> list[Peer]:
+    def available_standbys(self, now_s: float) -> list[Peer]:
         """Return the standbys that could take a member's place."""
         return [
             peer
             for peer in self.row.standbys
-            if now_s < self._members[peer.node].until_s
+            if now_s < self._members[peer.node].granted_until_s
             and self._members[peer.node].ready
             and not self._members[peer.node].leaving
         ]
 
     def valid_until_s(self) -> float:
         """Return when the first grant lapses."""
-        return min(each.until_s for each in self._active())
+        return min(each.granted_until_s for each in self._active())
 
-    def closed_because(self, now_s: float) -> Reason:
+    def closed_reason(self, now_s: float) -> Reason:
         """Return why the gate is closed, or ``NONE`` when it is open."""
         members = self._active()
         checks = (
-            (Reason.GROUP_INCOMPLETE, any(now_s >= each.until_s for each in members)),
+            (Reason.GROUP_INCOMPLETE, any(now_s >= each.granted_until_s for each in members)),
             (Reason.GROUP_LOADING, any(not each.ready for each in members)),
             (Reason.DRAINING, self.row.draining),
             (Reason.LEAVING, any(each.leaving for each in members)),
--- a/packages/ochreway-core/src/ochreway_core/grant.py
+++ b/packages/ochreway-core/src/ochreway_core/grant.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class DeniedGrant:
     """Say why a grant is refused and how long that may last."""
 
     reason: Reason
@@ -26,41 +26,41 @@
 
     def __init__(self, ttl_s: float, now_s: float) -> None:
         self._ttl_s = ttl_s
-        self._quiet_until_s = now_s + ttl_s
+        self._startup_until_s = now_s + ttl_s
         self._until_s = 0.0
         self.epoch = NO_EPOCH
-        self.highest = NO_EPOCH
+        self.highest_epoch = NO_EPOCH
 
-    def learn(self, epoch: Epoch) -> None:
+    def observe_epoch(self, epoch: Epoch) -> None:
         """Renew nothing below this epoch from now on."""
-        self.highest = max(self.highest, epoch)
+        self.highest_epoch = max(self.highest_epoch, epoch)
 
-    def request(self, epoch: Epoch, now_s: float) -> Result[None, Held]:
+    def request(self, epoch: Epoch, now_s: float) -> Result[None, DeniedGrant]:
         """Grant the epoch or say why not."""
-        self.learn(epoch)
-        if epoch < self.highest:
-            return Err(Held(Reason.STALE_EPOCH, 0.0))
-        if not self.may_move(epoch, now_s):
-            wait_s = max(self._quiet_until_s, self._until_s) - now_s
-            return Err(Held(Reason.GROUP_INCOMPLETE, wait_s))
+        self.observe_epoch(epoch)
+        if epoch < self.highest_epoch:
+            return Err(DeniedGrant(Reason.STALE_EPOCH, 0.0))
+        if not self.can_grant(epoch, now_s):
+            wait_s = max(self._startup_until_s, self._until_s) - now_s
+            return Err(DeniedGrant(Reason.GROUP_INCOMPLETE, wait_s))
         self.epoch = epoch
         self._until_s = now_s + self._ttl_s
         return Ok(None)
 
-    def may_move(self, epoch: Epoch, now_s: float) -> bool:
+    def can_grant(self, epoch: Epoch, now_s: float) -> bool:
         """Tell whether nothing granted before stands in the way of the epoch."""
-        if now_s < self._quiet_until_s:
+        if now_s < self._startup_until_s:
             return False
         return epoch == self.epoch or now_s >= self._until_s
 
-    def fresh(self, epoch: Epoch, now_s: float) -> bool:
+    def is_fresh(self, epoch: Epoch, now_s: float) -> bool:
         """Tell whether the epoch's grant stands."""
         return epoch == self.epoch and now_s < self._until_s
 
-    def returned(self, epoch: Epoch) -> None:
+    def end_grant(self, epoch: Epoch) -> None:
         """Forget a grant that its leader gave back."""
         if epoch == self.epoch:
             self._until_s = 0.0
 
 
-__all__ = ["Held", "MemberGrant"]
+__all__ = ["DeniedGrant", "MemberGrant"]
--- a/packages/ochreway-core/src/ochreway_core/keyhome.py
+++ b/packages/ochreway-core/src/ochreway_core/keyhome.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class _Claimed:
+class _HeldKey:
     request: RequestId
     outcome: Outcome
     expires_s: float
@@ -30,12 +30,12 @@
         self._memory_s = memory_s
         self._started_wall_s = wall_s
         self._forgetful_until_s = now_s + memory_s
-        self._claims: dict[KeyDigest, _Claimed] = {}
+        self._claims: dict[KeyDigest, _HeldKey] = {}
 
     def __len__(self) -> int:
         return len(self._claims)
 
-    def stood_before_first_version(self) -> None:
+    def end_forgetful_period(self) -> None:
         """Note that no key can have been granted before this process started."""
         self._forgetful_until_s = 0.0
 
@@ -55,14 +55,14 @@
             return Vote.FORGETFUL, Outcome.UNKNOWN
         if held is None:
             expires_s = now_s + min(expires_in_s, self._memory_s)
-            self._claims[key] = _Claimed(request, Outcome.UNKNOWN, expires_s)
+            self._claims[key] = _HeldKey(request, Outcome.UNKNOWN, expires_s)
         return Vote.GRANTED, Outcome.UNKNOWN
 
     def _may_have_forgotten(self, issued_wall_s: float, now_s: float) -> bool:
-        made_since = issued_wall_s > self._started_wall_s + CLOCK_SKEW_S
-        return now_s < self._forgetful_until_s and not made_since
+        issued_since_start = issued_wall_s > self._started_wall_s + CLOCK_SKEW_S
+        return now_s < self._forgetful_until_s and not issued_since_start
 
-    def end(self, key: KeyDigest, request: RequestId, outcome: Outcome) -> None:
+    def record_outcome(self, key: KeyDigest, request: RequestId, outcome: Outcome) -> None:
         """Note how the request that holds the key ended."""
         held = self._claims.get(key)
         if held is None or held.request != request:
@@ -72,7 +72,7 @@
         else:
             held.outcome = outcome
 
-    def forget(self, now_s: float) -> None:
+    def expire(self, now_s: float) -> None:
         """Drop the keys whose time has passed."""
         for key in [key for key, held in self._claims.items() if held.expires_s < now_s]:
             del self._claims[key]
--- a/packages/ochreway-core/src/ochreway_core/reading.py
+++ b/packages/ochreway-core/src/ochreway_core/reading.py
@@ -94,13 +94,13 @@
     def read(value: Any) -> Any:
         if value is None and optional:
             return None
-        fault = CodecError("nothing fits")
+        last_error = CodecError("nothing fits")
         for each in readers:
             try:
                 return each(value)
-            except CodecError as found:
-                fault = found
-        raise fault
+            except CodecError as mismatch:
+                last_error = mismatch
+        raise last_error
 
     return read
 
@@ -116,16 +116,16 @@
             return value
         if not isinstance(value, dict):
             raise _mismatch(value, kind.__name__)
-        found = {}
+        field_values = {}
         for name, read_item, required in items:
             if name in value:
                 try:
-                    found[name] = read_item(value[name])
-                except CodecError as fault:
-                    raise CodecError(f"{name}: {fault}") from None
+                    field_values[name] = read_item(value[name])
+                except CodecError as error:
+                    raise CodecError(f"{name}: {error}") from None
             elif required:
                 raise CodecError(f"{name}: missing")
-        return kind(**found)
+        return kind(**field_values)
 
     return read
 
--- a/packages/ochreway-core/src/ochreway_core/reassembly.py
+++ b/packages/ochreway-core/src/ochreway_core/reassembly.py
@@ -5,7 +5,7 @@
 
 from ochreway_core.messages.requests import Frame
 
-HELD_FRAMES = 256
+MAX_HELD_FRAMES = 256
 
 
 @dataclass(slots=True)
@@ -24,19 +24,19 @@
             self._hold(frame)
             return []
         ready = []
-        following: Frame | None = frame
-        while following is not None:
-            fresh = _after(following, self.received)
-            if fresh is not None:
-                ready.append(fresh)
-                self.received += len(fresh.payload)
-            following = self._next_held()
+        next_frame: Frame | None = frame
+        while next_frame is not None:
+            unseen = _without_received(next_frame, self.received)
+            if unseen is not None:
+                ready.append(unseen)
+                self.received += len(unseen.payload)
+            next_frame = self._next_held()
         return ready
 
     def _hold(self, frame: Frame) -> None:
         """Keep a frame that came early, the longest of those that begin alike."""
         known = self._held.get(frame.offset)
-        if known is None and len(self._held) >= HELD_FRAMES:
+        if known is None and len(self._held) >= MAX_HELD_FRAMES:
             return
         if known is None or len(known.payload) < len(frame.payload):
             self._held[frame.offset] = frame
@@ -46,12 +46,12 @@
         return self._held.pop(offset) if offset <= self.received else None
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether every byte of the stated total has been passed on."""
         return self.total is not None and self.received == self.total
 
 
-def _after(frame: Frame, offset: int) -> Frame | None:
+def _without_received(frame: Frame, offset: int) -> Frame | None:
     skipped = offset - frame.offset
     if skipped == 0 and frame.payload:
         return frame
@@ -61,4 +61,4 @@
     return Frame(frame.attempt, offset, payload, 0, frame.status, frame.content_type, frame.total)
 
 
-__all__ = ["HELD_FRAMES", "Reassembly"]
+__all__ = ["MAX_HELD_FRAMES", "Reassembly"]
--- a/packages/ochreway-core/src/ochreway_core/rows.py
+++ b/packages/ochreway-core/src/ochreway_core/rows.py
@@ -19,13 +19,13 @@
 from ochreway_core.peer import Peer
 from ochreway_core.targetkind import TargetKind
 
-FORMATIONS_AT_MOST = 1000
+MAX_FORMATIONS = 1000
 """How many formations an epoch may have, as their number is part of the fence."""
 
 
 def fence_of(epoch: Epoch) -> Epoch:
     """Return the fence of an epoch's first formation."""
-    return Epoch(epoch * FORMATIONS_AT_MOST)
+    return Epoch(epoch * MAX_FORMATIONS)
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
     formation: int = 0
 
     @property
-    def age(self) -> tuple[int, int, int]:
+    def order_key(self) -> tuple[int, int, int]:
         """Return what orders the rows of a group."""
         return self.epoch, self.formation, self.step
 
@@ -72,11 +72,11 @@
         return Epoch(fence_of(self.epoch) + self.formation)
 
     @property
-    def everyone(self) -> tuple[Peer, ...]:
+    def all_peers(self) -> tuple[Peer, ...]:
         """Return the members and the standbys."""
         return self.members + self.standbys
 
-    def serves_on(self, node: NodeId) -> bool:
+    def has_member(self, node: NodeId) -> bool:
         """Tell whether the node is a member, not a standby."""
         return any(peer.node == node for peer in self.members)
 
@@ -85,9 +85,9 @@
         """Return the member that admits the group's work."""
         return self.members[0]
 
-    def names(self, node: NodeId) -> bool:
+    def includes(self, node: NodeId) -> bool:
         """Tell whether the node is a member or a standby."""
-        return any(peer.node == node for peer in self.everyone)
+        return any(peer.node == node for peer in self.all_peers)
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/ochreway-core/src/ochreway_core/view.py
+++ b/packages/ochreway-core/src/ochreway_core/view.py
@@ -16,10 +16,10 @@
 from ochreway_core.rows import RollRow
 from ochreway_core.signoff import Approval, verify
 
-KEEPERS_AT_MOST = 64
+MAX_KEEPERS = 64
 HOMES_PER_KEY = 3
-BODIES_KEPT = 3
-BODY_BYTES_AT_MOST = 16 * 1024 * 1024
+MAX_BODIES = 3
+MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,16 +33,16 @@
     @property
     def body(self) -> bytes:
         """Return the bundle's TOML, or as much of it as a bundle may have."""
-        return zlib.decompressobj().decompress(self.packed, BODY_BYTES_AT_MOST)
+        return zlib.decompressobj().decompress(self.packed, MAX_BODY_BYTES)
 
 
-def snapshot_of(roll: RollRow, body: bytes, approvals: tuple[Approval, ...]) -> Snapshot:
+def make_snapshot(roll: RollRow, body: bytes, approvals: tuple[Approval, ...]) -> Snapshot:
     """Return a snapshot that carries the body compressed."""
     return Snapshot(roll, zlib.compress(body, 9), approvals)
 
 
 @dataclass(slots=True)
-class _Former:
+class _FormerKeepers:
     keepers: tuple[NodeId, ...]
     superseded_s: float
 
@@ -53,7 +53,7 @@
     def __init__(self, operator_keys: dict[str, Ed25519PublicKey], key_memory_s: float) -> None:
         self._operator_keys = operator_keys
         self._key_memory_s = key_memory_s
-        self._former: list[_Former] = []
+        self._former: list[_FormerKeepers] = []
         self._bodies: OrderedDict[BundleHash, bytes] = OrderedDict()
         self.snapshot: Snapshot | None = None
         self.bundle: Bundle | None = None
@@ -75,7 +75,7 @@
         if checked.is_err():
             return Err(checked.unwrap_err())
         invariants.version_moves_forward(self.version, snapshot.roll.version)
-        self._remember_former(snapshot.roll.former, now_s)
+        self._record_former(snapshot.roll.former, now_s)
         self.snapshot = snapshot
         self._keep_body(snapshot)
         self.bundle = checked.unwrap()
@@ -85,7 +85,7 @@
     def _keep_body(self, snapshot: Snapshot) -> None:
         self._bodies[snapshot.roll.bundle] = snapshot.body
         self._bodies.move_to_end(snapshot.roll.bundle)
-        while len(self._bodies) > BODIES_KEPT:
+        while len(self._bodies) > MAX_BODIES:
             self._bodies.popitem(last=False)
 
     def body_of(self, bundle: BundleHash) -> bytes | None:
@@ -95,8 +95,8 @@
     def _check(self, snapshot: Snapshot) -> Result[Bundle, str]:
         try:
             body = snapshot.body
-        except zlib.error as fault:
-            return Err(f"the body does not unpack: {fault}")
+        except zlib.error as exc:
+            return Err(f"the body does not unpack: {exc}")
         digest = bundle_hash(body)
         if digest != snapshot.roll.bundle:
             return Err("the body is not the one that was rolled")
@@ -104,20 +104,20 @@
         for approval in snapshot.approvals:
             try:
                 verify(approval, digest, self._operator_keys)
-            except SignatureInvalid as fault:
-                faults.append(str(fault))
+            except SignatureInvalid as exc:
+                faults.append(str(exc))
                 continue
             if approval.author == snapshot.roll.author:
                 return parse_bundle(body).map_err("; ".join)
             faults.append("the approval names another author")
         return Err("no valid approval: " + ("; ".join(faults) or "none given"))
 
-    def _remember_former(self, listed: tuple[tuple[NodeId, ...], ...], now_s: float) -> None:
+    def _record_former(self, listed: tuple[tuple[NodeId, ...], ...], now_s: float) -> None:
         oldest_s = now_s - self._key_memory_s
         self._former = [item for item in self._former if item.superseded_s > oldest_s]
         known = {item.keepers for item in self._former}
         superseded = {self.keepers, *listed} - known - {()}
-        self._former.extend(_Former(keepers, now_s) for keepers in sorted(superseded))
+        self._former.extend(_FormerKeepers(keepers, now_s) for keepers in sorted(superseded))
 
     def homes(self, key: str, now_s: float) -> list[frozenset[NodeId]]:
         """Return each set of nodes of which a majority must grant a claim on the key.
@@ -135,7 +135,7 @@
 def key_keepers(bundle: Bundle) -> tuple[NodeId, ...]:
     """Return the nodes that remember callers' keys under a bundle."""
     names = [NodeId(name) for name in bundle.instance_names()]
-    return tuple(rank("keepers", names)[:KEEPERS_AT_MOST])
+    return tuple(rank("keepers", names)[:MAX_KEEPERS])
 
 
-__all__ = ["HOMES_PER_KEY", "KEEPERS_AT_MOST", "Snapshot", "View", "key_keepers", "snapshot_of"]
+__all__ = ["HOMES_PER_KEY", "MAX_KEEPERS", "Snapshot", "View", "key_keepers", "make_snapshot"]
--- a/packages/ochreway-direct/src/ochreway_direct/crashes/crashkeeper.py
+++ b/packages/ochreway-direct/src/ochreway_direct/crashes/crashkeeper.py
@@ -79,13 +79,13 @@
     async def run(self) -> None:
         """Read all rows, then write what is due until cancelled."""
         while not await self._restore():
-            await asyncio.sleep(self._backoff.failed())
+            await asyncio.sleep(self._backoff.next_delay_s())
         while True:
             await self._wait()
             if self._holds():
                 self._due.update(dict.fromkeys(set(self._book.fatal()) - self._kept))
             if self._due and not await self._write(list(self._due)[:WRITTEN_AT_ONCE]):
-                await asyncio.sleep(self._backoff.failed())
+                await asyncio.sleep(self._backoff.next_delay_s())
             if self._holds() and self._loop.time() - self._tidied_s >= TIDY_S:
                 await self._tidy()
 
@@ -116,7 +116,7 @@
             self._metrics.count("crash.rows_unavailable")
             self._log.detail("fatal_rows_unavailable", cause=fault)
             return None
-        self._backoff.succeeded()
+        self._backoff.reset()
         return {key: found for key, row in rows.items() if (found := self._decoded(key, row))}
 
     def _decoded(self, key: str, row: Row) -> FatalRow | None:
@@ -149,7 +149,7 @@
         done = reply.status is CommitStatus.COMMITTED
         self._metrics.count("crash.rows_written" if done else "crash.rows_unavailable")
         if done:
-            self._backoff.succeeded()
+            self._backoff.reset()
         return done
 
     async def _tidy(self) -> None:
--- a/packages/ochreway-direct/src/ochreway_direct/leases/lease.py
+++ b/packages/ochreway-direct/src/ochreway_direct/leases/lease.py
@@ -115,9 +115,9 @@
         try:
             rows = await self._table.read((LEASE_KEY,))
         except TableUnavailable:
-            self._retry_s = now_s + self._backoff.failed()
+            self._retry_s = now_s + self._backoff.next_delay_s()
             return
-        self._backoff.succeeded()
+        self._backoff.reset()
         self._see(rows.get(LEASE_KEY), now_s)
 
     def _see(self, row: Row | None, now_s: float) -> None:
@@ -172,7 +172,7 @@
 
     async def _settle(self, change: ChangeId, now_s: float) -> bool:
         """Find out what became of a write whose answer did not come."""
-        self._retry_s = now_s + self._backoff.failed()
+        self._retry_s = now_s + self._backoff.next_delay_s()
         try:
             rows = await self._table.read((LEASE_KEY,))
         except TableUnavailable:
@@ -193,7 +193,7 @@
         return True
 
     def _written(self, revision: int, now_s: float) -> None:
-        self._backoff.succeeded()
+        self._backoff.reset()
         self._retry_s = 0.0
         self.revision = revision
         self.renewed_s = now_s
--- a/packages/ochreway-direct/src/ochreway_direct/lists/listfollower.py
+++ b/packages/ochreway-direct/src/ochreway_direct/lists/listfollower.py
@@ -60,8 +60,8 @@
             reading = await self._source.poll(self._timing.list_wait_s)
         except PlatformError as fault:
             self._failed(fault, asked_s)
-            return self._backoff.failed()
-        self._backoff.succeeded()
+            return self._backoff.next_delay_s()
+        self._backoff.reset()
         self._health.answered(asked_s, self._loop.time())
         self._fault.over(self._loop.time())
         self._note_unreadable(reading.unreadable)
--- a/packages/ochreway-direct/src/ochreway_direct/versions/configurationfollower.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/configurationfollower.py
@@ -93,7 +93,7 @@
             return self._failed(fault, asked_s + wait_s)
         except PlatformError as fault:
             return self._failed(fault, asked_s + wait_s)
-        self._backoff.succeeded()
+        self._backoff.reset()
         self._health.answered(asked_s, self._loop.time())
         self._fault.over(self._loop.time(), in_force=self._serving.version)
         return self._take(reading)
@@ -105,7 +105,7 @@
         self._fault.met(str(fault), now_s, in_force=self._serving.version)
         if not isinstance(fault, ConfigurationUnreadable):
             self._health.failed(min(now_s, due_s))
-        return self._backoff.failed()
+        return self._backoff.next_delay_s()
 
     def _take(self, reading: ConfigurationReading) -> float:
         self._drained(reading.drained, reading.asked_s)
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/membership.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/membership.py
@@ -89,19 +89,19 @@
 
     def on_dismiss(self, sender: Peer, message: Dismiss, now_s: float) -> None:
         """Leave a group that the table no longer names this instance in."""
-        self.grant.learn(message.counter)
+        self.grant.observe_epoch(message.counter)
         if self.row is not None and self.row.epoch <= message.counter:
             self._leave_group(now_s, Epoch(message.counter + 1))
 
     def adopt(self, row: GroupRow, now_s: float) -> None:
         """Take a newer row of this instance's group, or of the group it joins."""
-        if row.epoch < self.grant.highest or not self._is_newer(row):
+        if row.epoch < self.grant.highest_epoch or not self._is_newer(row):
             return
-        if not row.names(self.me.node):
+        if not row.includes(self.me.node):
             return
         same = self.row is not None and self.row.fence == row.fence
         if same and self.gate is not None:
-            self.gate.advance(row)
+            self.gate.update_row(row)
         if not same:
             # Numbers of heartbeats go on, so that no late grant answers for a newer one.
             sequence = self.gate.sequence if self.gate is not None else 0
@@ -113,7 +113,7 @@
         self.row = row
         self._warm = None
         self._heard_leader_s = now_s
-        self.grant.learn(row.epoch)
+        self.grant.observe_epoch(row.epoch)
         self._heartbeat_s = -1.0e9
         self._outbox.log(
             "group_row_adopted", group=row.group, epoch=row.epoch, step=row.step, leads=self.leads
@@ -122,7 +122,7 @@
     def _is_newer(self, row: GroupRow) -> bool:
         if self.row is None:
             return True
-        return row.age > self.row.age
+        return row.order_key > self.row.order_key
 
     def _leave_group(self, now_s: float, next_epoch: Epoch) -> None:
         former, self.row, gate, self.gate = self.row, None, self.gate, None
@@ -132,7 +132,7 @@
         if gate is not None and former.epoch != next_epoch:
             for peer in self._others(former):
                 self._outbox.send(peer, Release(former.group, former.epoch))
-            self.grant.returned(former.epoch)
+            self.grant.end_grant(former.epoch)
         self._epoch_changed(now_s)
 
     @property
@@ -145,7 +145,7 @@
         if beat.row is not None:
             self.adopt(beat.row, now_s)
         if not self._is_of_row(beat):
-            stale = beat.epoch < self.grant.highest
+            stale = beat.epoch < self.grant.highest_epoch
             reason = Reason.STALE_EPOCH if stale else Reason.NO_GROUP
             self._refuse(sender, beat, reason, 0.0)
             return
@@ -153,7 +153,7 @@
         # Kept by a member that stays as well: it may be told to stop after its leader has gone.
         self.released = beat.released
         if self.leaving and beat.released:
-            self.grant.returned(beat.epoch)
+            self.grant.end_grant(beat.epoch)
             self._refuse(sender, beat, Reason.LEAVING, 0.0)
             return
         held = self.grant.request(beat.epoch, now_s)
@@ -170,7 +170,7 @@
         The same heartbeat is answered again, so that the grant lasts no longer than before.
         """
         told = self._told
-        if told is None or not self.grant.fresh(told.grant.epoch, now_s):
+        if told is None or not self.grant.is_fresh(told.grant.epoch, now_s):
             return
         ready = self.ready(now_s)
         if ready is not told.grant.ready:
@@ -201,15 +201,15 @@
     def on_grant(self, sender: Peer, grant: Grant, now_s: float) -> None:
         """Count a member's grant."""
         if self.gate is not None and grant.epoch == self.gate.row.epoch:
-            self.gate.answered(sender.node, grant.sequence)
-            self.gate.granted(sender.node, grant.sequence, grant.ready, grant.leaving)
+            self.gate.record_reply(sender.node, grant.sequence)
+            self.gate.record_grant(sender.node, grant.sequence, grant.ready, grant.leaving)
 
     def on_grant_refusal(self, sender: Peer, refusal: GrantRefusal, now_s: float) -> None:
         """Send the row again to a member that does not know it."""
         if self.gate is None or refusal.epoch != self.gate.row.epoch:
             return
-        self.gate.answered(sender.node, refusal.sequence)
-        self.gate.forgot_row(sender.node)
+        self.gate.record_reply(sender.node, refusal.sequence)
+        self.gate.mark_row_unknown(sender.node)
         self._beat_after(refusal.wait_s, now_s)
         if refusal.formation > self.gate.row.formation:
             # This leader restarted and forgot a formation that its members still know.
@@ -218,12 +218,12 @@
 
     def on_release(self, sender: Peer, release: Release, now_s: float) -> None:
         """Take back the grant that a leader returns."""
-        self.grant.returned(release.epoch)
+        self.grant.end_grant(release.epoch)
 
     def report(self, now_s: float, drained: bool) -> Report:
         """Describe this agent to a controller."""
         row = self.row
-        epoch = row.epoch if row else self.grant.highest
+        epoch = row.epoch if row else self.grant.highest_epoch
         return Report(
             node=self.me.node,
             incarnation=self.incarnation,
@@ -232,7 +232,7 @@
             step=row.step if row else 0,
             ready=self.ready(now_s),
             leaving=self.leaving,
-            granting=row is not None and self.grant.fresh(row.epoch, now_s),
+            granting=row is not None and self.grant.is_fresh(row.epoch, now_s),
             artifact=self.target.artifact if self.target.loaded else "",
             gate=self.closed_because(now_s),
             drained=drained,
@@ -246,7 +246,7 @@
             return Reason.NO_GROUP
         if self.leaving:
             return Reason.LEAVING
-        closed = self.gate.closed_because(now_s)
+        closed = self.gate.closed_reason(now_s)
         if closed is Reason.NONE and self.backoff_s(now_s) > 0.0:
             return Reason.BACKOFF
         return closed
@@ -316,12 +316,12 @@
         if self.gate is None or self._released_from is None:
             return False
         told_long = now_s - self._released_s >= FAREWELL_S
-        return told_long or self.gate.all_heard(self._released_from, now_s, self.me.node)
+        return told_long or self.gate.all_answered(self._released_from, now_s, self.me.node)
 
     def may_go(self, now_s: float) -> bool:
         """Tell whether this member's end would cut nothing that its group has in flight."""
         silent_s = now_s - self._heard_leader_s
-        if self.row is None or not self.row.serves_on(self.me.node):
+        if self.row is None or not self.row.has_member(self.me.node):
             return True
         return self.released or silent_s > self.timing.leader_silent_s
 
@@ -334,7 +334,7 @@
             return target.loaded
         if not target.loaded or target.artifact != row.artifact:
             return False
-        return target.epoch == row.fence or not row.serves_on(self.me.node)
+        return target.epoch == row.fence or not row.has_member(self.me.node)
 
     def _wanted(self) -> TargetOrder | None:
         """Return what the target is to have loaded, if this agent has a say in it."""
@@ -342,7 +342,7 @@
             return self._warm
         if self.row.kind is TargetKind.SERVICE:
             return None
-        if not self.row.serves_on(self.me.node):
+        if not self.row.has_member(self.me.node):
             return TargetOrder(self.row.fence, self.row.artifact)
         return order_for(self.row)
 
@@ -350,7 +350,7 @@
         """Tell, right before the target is ordered, whether the order still stands."""
         epoch = self.row.epoch if self.row is not None else self._warm_epoch
         # One that has nothing serves no group that a former grant may still stand for.
-        may_move = self.grant.may_move(epoch, now_s) or self._target_is_empty(now_s)
+        may_move = self.grant.can_grant(epoch, now_s) or self._target_is_empty(now_s)
         return self._wanted() == order and may_move and not self.backoff_s(now_s)
 
     def _target_is_empty(self, now_s: float) -> bool:
@@ -361,8 +361,8 @@
 
     def on_warm(self, sender: Peer, message: Warm, now_s: float) -> None:
         """Load an artifact while in no group."""
-        if message.counter >= self.grant.highest:
-            self.grant.learn(message.counter)
+        if message.counter >= self.grant.highest_epoch:
+            self.grant.observe_epoch(message.counter)
             self._warm_epoch = message.counter
             self._warm = TargetOrder(fence_of(message.counter), message.artifact)
 
@@ -382,8 +382,8 @@
     def _put_standby_in(self, gate: LeaderGate, now_s: float) -> None:
         """Let standbys take the places of lost members, for which the table is not needed."""
         row = gate.row
-        lost = gate.lost(now_s, self.timing.standby_after_s)
-        able = gate.able_standbys(now_s)
+        lost = gate.lost_members(now_s, self.timing.standby_after_s)
+        able = gate.available_standbys(now_s)
         if not lost or len(able) < len(lost) or row.draining:
             return
         places = dict(zip(lost, able, strict=False))
@@ -437,7 +437,7 @@
             self._released_from, self._released_s = sequence, now_s
 
     def _others(self, row: GroupRow) -> list[Peer]:
-        return [peer for peer in row.everyone if peer.node != self.me.node]
+        return [peer for peer in row.all_peers if peer.node != self.me.node]
 
     def _order_target(self, now_s: float) -> None:
         order = self._wanted()
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/node.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/node.py
@@ -135,7 +135,7 @@
         self.membership.tick(now_s)
         self.serving.tick(now_s)
         self.loads.tick(now_s)
-        self.keys.forget(now_s)
+        self.keys.expire(now_s)
 
     def on_target_state(self, state: TargetState) -> None:
         """Take in what the target says it has loaded."""
@@ -258,7 +258,7 @@
             return
         first_wall_s = snapshot.roll.first_accepted_wall_s
         if first_wall_s > self._started_wall_s + CLOCK_SKEW_S:
-            self.keys.stood_before_first_version()
+            self.keys.end_forgetful_period()
         self.membership.beat_soon()
         bundle = self.spread.view.bundle
         if bundle is not None:
@@ -276,7 +276,7 @@
         self._outbox.send(sender, ClaimReply(claim.key, claim.request, vote, outcome))
 
     def _on_claim_end(self, sender: Peer, message: ClaimEnd, now_s: float) -> None:
-        self.keys.end(message.key, message.request, message.outcome)
+        self.keys.record_outcome(message.key, message.request, message.outcome)
 
 
 __all__ = ["AgentNode"]
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/serving.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/serving.py
@@ -183,7 +183,7 @@
         assert gate is not None
         assert record.submit is not None
         # In doubt it counts as handed over, so this goes before the effect.
-        record.state = AttemptState.HANDED
+        record.state = AttemptState.HANDED_OVER
         submit = record.submit
         self._handed[submit.attempt] = record
         self.meter.record_start(submit.attempt, submit.blocks, work.prefill_tokens, now_s)
@@ -194,7 +194,7 @@
     def may_hand_over(self, order: HandOver, now_s: float) -> bool:
         """Tell, at the moment of the hand-over, whether it may still happen."""
         record = self.ledger.get(order.submit.attempt)
-        if record is None or record.state is not AttemptState.HANDED:
+        if record is None or record.state is not AttemptState.HANDED_OVER:
             return False
         row = self._membership.row
         same = row is not None and row.epoch == order.submit.epoch
@@ -204,7 +204,7 @@
     def on_hand_over_missed(self, attempt: AttemptId, now_s: float) -> None:
         """End an attempt whose hand-over did not happen."""
         record = self.ledger.get(attempt)
-        if record is not None and record.state is AttemptState.HANDED:
+        if record is not None and record.state is AttemptState.HANDED_OVER:
             self._slot_free(record, now_s)
             self._end(record, Outcome.NOT_RUN, Reason.HAND_OVER_LATE, CLOSED_RETRY_S)
 
@@ -213,7 +213,7 @@
     def on_chunk(self, attempt: AttemptId, chunk: Chunk, now_s: float) -> None:
         """Pass on a piece of the target's answer."""
         record = self.ledger.get(attempt)
-        if record is None or record.state is not AttemptState.HANDED:
+        if record is None or record.state is not AttemptState.HANDED_OVER:
             return
         answer = record.answer
         offset = answer.length
@@ -239,14 +239,14 @@
             self._slot_free(record, now_s)
             record.state = AttemptState.DONE
             record.outcome = Outcome.ANSWERED
-            self.ledger.answered(record, now_s)
+            self.ledger.retain_answer(record, now_s)
         if chunk.last or not offset:
             self.dispatch(now_s)
 
     def on_turned_away(self, attempt: AttemptId, now_s: float) -> None:
         """End an attempt that the target says it did not begin."""
         record = self.ledger.get(attempt)
-        if record is None or record.state is not AttemptState.HANDED:
+        if record is None or record.state is not AttemptState.HANDED_OVER:
             return
         self._slot_free(record, now_s)
         backoff_s = self._membership.backoff_s(now_s)
@@ -266,7 +266,7 @@
             ended: True when the target's process ended while it ran it.
         """
         record = self.ledger.get(attempt)
-        if record is None or record.state is not AttemptState.HANDED:
+        if record is None or record.state is not AttemptState.HANDED_OVER:
             return
         self._slot_free(record, now_s)
         outcome = Outcome.UNKNOWN if started else Outcome.NOT_RUN
@@ -282,7 +282,7 @@
     def may_read(self, attempt: AttemptId) -> bool:
         """Tell whether the attempt's answer has room in its window."""
         record = self.ledger.get(attempt)
-        if record is None or record.state is not AttemptState.HANDED:
+        if record is None or record.state is not AttemptState.HANDED_OVER:
             return True
         return record.answer.length - record.answer.passed < WINDOW_BYTES
 
@@ -346,7 +346,7 @@
             self._withdraw_queued(
                 sender, Withdraw(message.attempt, self._membership.incarnation, 0), record
             )
-        elif record.state is AttemptState.HANDED:
+        elif record.state is AttemptState.HANDED_OVER:
             self._cut(message.attempt, record, Reason.CALLER_GONE, now_s)
         self.dispatch(now_s)
 
@@ -377,7 +377,7 @@
                 # Its entry would have cancelled it; it is gone.
                 self._cut(attempt, record, Reason.DEADLINE_PASSED, now_s)
         self.dispatch(now_s)
-        self.ledger.forget(now_s)
+        self.ledger.expire(now_s)
 
     def _slot_free(self, record: AttemptRecord, now_s: float) -> None:
         submit = record.submit
@@ -389,7 +389,7 @@
     def _end(
         self, record: AttemptRecord, outcome: Outcome, reason: Reason, retry_after_s: float
     ) -> None:
-        handed = record.state is AttemptState.HANDED
+        handed = record.state is AttemptState.HANDED_OVER
         honest = outcome is not Outcome.NOT_RUN or not handed or reason in _NOT_STARTED
         if not invariants.never_handed_over(not honest, f"reason={reason.value}"):
             outcome = Outcome.UNKNOWN
@@ -408,7 +408,7 @@
 
 _WITHDRAWALS: dict[AttemptState, Callable[[Serving, Peer, Withdraw, AttemptRecord], None]] = {
     AttemptState.QUEUED: Serving._withdraw_queued,
-    AttemptState.HANDED: Serving._resume,
+    AttemptState.HANDED_OVER: Serving._resume,
     AttemptState.DONE: Serving._withdraw_done,
 }
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/controller.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/controller.py
@@ -200,7 +200,7 @@
         self._fresh = False
         self._phase = Phase.IDLE
         self._pending = None
-        self._not_before_s = now_s + self._backoff.failed()
+        self._not_before_s = now_s + self._backoff.next_delay_s()
 
     def _consider_taking(self, now_s: float) -> None:
         if self._may_take(now_s):
@@ -235,7 +235,7 @@
             return
         self._pending = None
         self._phase = Phase.IDLE
-        self._backoff.succeeded()
+        self._backoff.reset()
         rows = DomainRows.read(self.domain, reply.rows)
         self.observe(rows.lease, now_s)
         if rows.lease is not None and rows.lease.holder == self._me:
@@ -276,7 +276,7 @@
             return
         self._pending = None
         self._phase = Phase.IDLE
-        self._backoff.succeeded()
+        self._backoff.reset()
         if reply.status is CommitStatus.CONFLICT:
             self._outbox.count("controller.conflict")
             self._fresh = False
@@ -429,7 +429,7 @@
     if report.node != row.leader.node:
         # Only leaders make formations; the others hear of them from their leader.
         formation = row.formation
-    return (report.epoch, formation, report.step) < row.age
+    return (report.epoch, formation, report.step) < row.order_key
 
 
 def _age(lease: LeaseRow | None) -> tuple[int, int]:
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/planner.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/planner.py
@@ -42,7 +42,7 @@
         if reformed is None or (reformed.group, reformed.epoch) != (row.group, row.epoch):
             continue
         # A standby that was released in the meantime may be in another group.
-        kept = all(situation.rows.group_of(peer.node) == row.group for peer in reformed.everyone)
+        kept = all(situation.rows.group_of(peer.node) == row.group for peer in reformed.all_peers)
         if kept and reformed.formation > row.formation:
             return RecordFormation(row.group, reformed)
     return None
@@ -64,7 +64,7 @@
 
 def _fits(row: GroupRow, spec: Group) -> bool:
     allowed = set(spec.instances)
-    taken_in = all(peer.node in allowed for peer in row.everyone)
+    taken_in = all(peer.node in allowed for peer in row.all_peers)
     return row.target == spec.target and len(row.members) == spec.instances_per_replica and taken_in
 
 
@@ -262,7 +262,7 @@
 
 def _form_anew(situation: Situation, row: GroupRow, spec: Group) -> GroupChange:
     size = spec.instances_per_replica
-    named = [peer for peer in row.everyone if peer.node in spec.instances]
+    named = [peer for peer in row.all_peers if peer.node in spec.instances]
     staying = [peer for peer in named if not situation.is_drained(peer.node)]
     able = staying + situation.free(spec)
     if len(able) < size:
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/calls.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/calls.py
@@ -132,7 +132,7 @@
         if call is None or call.claim is None or call.state is not CallState.CLAIMING:
             return
         if reply.vote is not Vote.STALE:
-            call.claim.voted(sender.node, reply.vote, reply.outcome)
+            call.claim.record_vote(sender.node, reply.vote, reply.outcome)
             self._follow_claim(call, now_s)
 
     def _follow_claim(self, call: Call, now_s: float) -> None:
@@ -228,7 +228,7 @@
         attempt.heard_s = now_s
         for fresh in attempt.answer.add(frame):
             self._deliver(call, attempt, fresh, now_s)
-        if attempt.answer.whole:
+        if attempt.answer.is_complete:
             self._answered(call, attempt, now_s)
 
     def _deliver(self, call: Call, attempt: Attempt, frame: Frame, now_s: float) -> None:
@@ -364,7 +364,7 @@
 
     def _tick_claiming(self, call: Call, now_s: float) -> None:
         if call.claim is not None and now_s >= call.claim.give_up_s:
-            self._claim_failed(call, why_failed(call.claim, call.claim.state_at_last()))
+            self._claim_failed(call, why_failed(call.claim, call.claim.final_state()))
 
     def _tick_running(self, call: Call, now_s: float) -> None:
         """Take a leader that has fallen silent for one whose link is gone."""
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/viewkeeper.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/viewkeeper.py
@@ -35,7 +35,7 @@
 from ochreway_core.signoff import Approval
 from ochreway_core.table import ReadReply, Row
 from ochreway_core.timing import Timing
-from ochreway_core.view import Snapshot, snapshot_of
+from ochreway_core.view import Snapshot, make_snapshot
 from ochreway_nodes.entry.domaingroups import (
     DomainGroups,
     changed_groups,
@@ -177,7 +177,7 @@
         self._asked = frozenset()
         self._failing = True
         self._outbox.count("view.table_failed")
-        self._not_before_s = now_s + self._backoff.failed()
+        self._not_before_s = now_s + self._backoff.next_delay_s()
 
     def poke(self) -> None:
         """Read at once: someone says that there is something new."""
@@ -193,7 +193,7 @@
             return
         self._call = None
         self._failing = False
-        self._backoff.succeeded()
+        self._backoff.reset()
         self._take_halls(reply.rows, now_s)
         self._take_head(reply.rows, now_s)
         self._take_domains(reply.rows, now_s)
@@ -279,7 +279,7 @@
     def _try_apply(self, now_s: float) -> None:
         if self._wanted is None or self._body is None or not self._approvals:
             return
-        snapshot = snapshot_of(self._wanted, self._body, self._approvals)
+        snapshot = make_snapshot(self._wanted, self._body, self._approvals)
         self._wanted, self._body, self._approvals = None, None, ()
         self.apply(snapshot, now_s)
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/viewspread.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/viewspread.py
@@ -7,7 +7,7 @@
 from ochreway_core.ids import BundleHash, NodeId, Version
 from ochreway_core.messages import ViewDelta, ViewRequest, ViewUpdate
 from ochreway_core.peer import Peer
-from ochreway_core.view import BODY_BYTES_AT_MOST, Snapshot, View, snapshot_of
+from ochreway_core.view import MAX_BODY_BYTES, Snapshot, View, make_snapshot
 from ochreway_nodes.outbox import Outbox
 
 ASK_AGAIN_S = 0.3
@@ -56,11 +56,11 @@
             self._outbox.count("configuration.no_base")
             return None
         try:
-            body = apply_delta(base, message.delta, BODY_BYTES_AT_MOST)
+            body = apply_delta(base, message.delta, MAX_BODY_BYTES)
         except zlib.error:
             self._outbox.count("configuration.rejected")
             return None
-        return snapshot_of(message.roll, body, message.approvals)
+        return make_snapshot(message.roll, body, message.approvals)
 
     def apply(self, snapshot: Snapshot, now_s: float) -> bool:
         """Put a version in force if it is newer and signed off."""
--- a/packages/ochreway-standins/src/ochreway_standins/slopes/__main__.py
+++ b/packages/ochreway-standins/src/ochreway_standins/slopes/__main__.py
@@ -136,7 +136,7 @@
     claim = Claim(Version(1), KeyDigest("k" * 32), RequestId("r" * 32), 60.0, 1.7e9)
     reply = ClaimReply(claim.key, claim.request, Vote.GRANTED, Outcome.UNKNOWN)
     home = KeyHome(120.0, 0.0, 0.0)
-    home.stood_before_first_version()
+    home.end_forgetful_period()
     number = iter(range(10**9))
 
     def handle() -> None:
@@ -153,7 +153,7 @@
 
 def _claimed(count: int) -> KeyHome:
     home = KeyHome(120.0, 0.0, 0.0)
-    home.stood_before_first_version()
+    home.end_forgetful_period()
     for index in range(count):
         home.claim(KeyDigest(f"{index:032d}"), RequestId(f"{index:032x}"), 60.0, 0.0, 1.0)
     return home
--- a/packages/ochreway-standins/src/ochreway_standins/slopes/setups.py
+++ b/packages/ochreway-standins/src/ochreway_standins/slopes/setups.py
@@ -35,7 +35,7 @@
 from ochreway_core.signoff import approve
 from ochreway_core.targetkind import TargetKind
 from ochreway_core.timing import Timing
-from ochreway_core.view import Snapshot, snapshot_of
+from ochreway_core.view import Snapshot, make_snapshot
 from ochreway_nodes.agent import AgentNode
 from ochreway_nodes.controller import Controller
 from ochreway_nodes.controller.domainrows import DomainRows
@@ -81,7 +81,7 @@
     roll = RollRow(
         ScopeId("main"), Version(version), digest, "ann", "ann", ChangeId("c"), 1.0, 1.0, ()
     )
-    return snapshot_of(roll, body, (approve(digest, "ann", "bo", KEY),))
+    return make_snapshot(roll, body, (approve(digest, "ann", "bo", KEY),))
 
 
 def row_of(group: int, members: int) -> GroupRow:
--- a/packages/ochreway-standins/src/ochreway_standins/soak/faults.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/faults.py
@@ -185,7 +185,7 @@
         assert isinstance(leader.node, AgentNode)
         led = leader.node.membership.row
         # A standby serves nothing, so its end cuts nothing.
-        same = leader.alive and led is not None and led.epoch == row.epoch and led.serves_on(node)
+        same = leader.alive and led is not None and led.epoch == row.epoch and led.has_member(node)
         if same and self.world.targets[row.leader.node].running:
             self.truth.violate(Invariant.STOP_CUTS_NOTHING, f"{node} left {row.group} early")
 
--- a/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
@@ -74,11 +74,11 @@
 
 @guard("gate_freshness", ("group_complete", "one_group"), ("kill_agent", "pause_agent", "cut_off"))
 def _gate_freshness() -> contextlib.AbstractContextManager[Any]:
-    def closed_because(gate: LeaderGate, now_s: float) -> Reason:
+    def closed_reason(gate: LeaderGate, now_s: float) -> Reason:
         return Reason.DRAINING if gate.row.draining else Reason.NONE
 
     return mock.patch.multiple(
-        LeaderGate, closed_because=closed_because, valid_until_s=lambda gate: 1.0e12
+        LeaderGate, closed_reason=closed_reason, valid_until_s=lambda gate: 1.0e12
     )
 
 
@@ -89,7 +89,7 @@
 
 @guard("grant_waits", ("one_group", "group_complete"), ("regroup", "regroup", "cut", "cut_off"), 10)
 def _grant_waits() -> contextlib.AbstractContextManager[Any]:
-    return mock.patch.object(MemberGrant, "may_move", lambda grant, epoch, now_s: True)
+    return mock.patch.object(MemberGrant, "can_grant", lambda grant, epoch, now_s: True)
 
 
 @guard("start_quiet", ("group_complete", "one_group"), ("take_restarted",), 10)
@@ -98,7 +98,7 @@
 
     def init(grant: MemberGrant, ttl_s: float, now_s: float) -> None:
         original(grant, ttl_s, now_s)
-        grant._quiet_until_s = now_s
+        grant._startup_until_s = now_s
 
     return mock.patch.object(MemberGrant, "__init__", init)
 
@@ -123,10 +123,10 @@
 
 @guard("frame_totals", ("whole_answer",), ("disorder", "cut_entry_leader"))
 def _frame_totals() -> contextlib.AbstractContextManager[Any]:
-    def whole(answer: Reassembly) -> bool:
+    def is_complete(answer: Reassembly) -> bool:
         return answer.total is not None
 
-    return mock.patch.object(Reassembly, "whole", property(whole))
+    return mock.patch.object(Reassembly, "is_complete", property(is_complete))
 
 
 @guard(
@@ -136,7 +136,7 @@
     def not_run(agent: Serving, sender: Peer, message: Withdraw, record: AttemptRecord) -> None:
         agent._outbox.send(sender, Settled(message.attempt, Outcome.NOT_RUN, Reason.WITHDRAWN))
 
-    return mock.patch.dict(serving._WITHDRAWALS, {AttemptState.HANDED: not_run})
+    return mock.patch.dict(serving._WITHDRAWALS, {AttemptState.HANDED_OVER: not_run})
 
 
 @guard(
@@ -172,7 +172,7 @@
 
     def init(home: KeyHome, memory_s: float, now_s: float, wall_s: float) -> None:
         original(home, memory_s, now_s, wall_s)
-        home.stood_before_first_version()
+        home.end_forgetful_period()
 
     return mock.patch.object(KeyHome, "__init__", init)
 
--- a/packages/ochreway-standins/src/ochreway_standins/soak/truth.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/truth.py
@@ -120,7 +120,7 @@
         if restarted and held in (NO_EPOCH, row.epoch):
             # It has forgotten what it granted, and grants nothing to anyone else yet.
             return
-        if not agent.membership.grant.fresh(row.epoch, member.local_s(now_s)):
+        if not agent.membership.grant.is_fresh(row.epoch, member.local_s(now_s)):
             detail = f"{row.group}@{row.epoch}: {node} grants epoch {held}"
             other = held != row.epoch
             self.violate(Invariant.ONE_GROUP if other else Invariant.GROUP_COMPLETE, detail)
@@ -176,7 +176,7 @@
         for key, row in rows.items():
             if key.startswith("group/"):
                 group = decode(GroupRow, row.content)
-                for peer in group.everyone:
+                for peer in group.all_peers:
                     if peer.node in groups:
                         other = groups[peer.node]
                         detail = f"{peer.node} in {other} and {group.group}"
--- a/packages/ochreway-standins/src/ochreway_standins/timings.py
+++ b/packages/ochreway-standins/src/ochreway_standins/timings.py
@@ -14,7 +14,7 @@
 from ochreway_core.rows import RollRow, approval_key, head_key
 from ochreway_core.signoff import Approval
 from ochreway_core.timing import Timing
-from ochreway_core.view import snapshot_of
+from ochreway_core.view import make_snapshot
 from ochreway_nodes.entry import EntryNode
 from ochreway_standins.soak.callers import Callers
 from ochreway_standins.soak.faults import Faults
@@ -43,7 +43,7 @@
     rows = world.platform.table.rows
     roll = decode(RollRow, rows[head_key(SCOPE)].content)
     approval = decode(Approval, rows[approval_key(roll.bundle, "bo")].content)
-    snapshot = snapshot_of(roll, world.platform.bodies[roll.bundle], (approval,))
+    snapshot = make_snapshot(roll, world.platform.bodies[roll.bundle], (approval,))
     for process in world.entries()[:2]:
         node = process.node
         assert isinstance(node, EntryNode)
--- a/tests/core/test_delta.py
+++ b/tests/core/test_delta.py
@@ -33,10 +33,10 @@
         extra = data.draw(st.lists(st.sampled_from(spans), max_size=4))
         order = data.draw(st.permutations([*spans, *extra]))
         reassembly = Reassembly()
-        given_out = b""
+        passed_on = b""
         for begin, end in order:
             total = len(answer) if end == len(answer) else None
             frame = Frame(ATTEMPT, begin, answer[begin:end], 1, 200, "", total)
-            given_out += b"".join(each.payload for each in reassembly.add(frame))
-        self.assertEqual(answer, given_out)
-        self.assertTrue(reassembly.whole)
+            passed_on += b"".join(each.payload for each in reassembly.add(frame))
+        self.assertEqual(answer, passed_on)
+        self.assertTrue(reassembly.is_complete)
--- a/tests/core/test_reading.py
+++ b/tests/core/test_reading.py
@@ -57,15 +57,15 @@
 
 class ReadingTests(testtools.TestCase):
     def test_plain_values_become_dataclasses(self) -> None:
-        found = reader(Plain)(GOOD)
-        self.assertEqual((Inner(Name("a"), 2.0), Inner(Name("b"))), found.inner)
+        decoded = reader(Plain)(GOOD)
+        self.assertEqual((Inner(Name("a"), 2.0), Inner(Name("b"))), decoded.inner)
         self.assertEqual(
-            ((1, "x"), {"a": 1}, Colour.RED), (found.pair, found.by_name, found.colour)
+            ((1, "x"), {"a": 1}, Colour.RED), (decoded.pair, decoded.by_name, decoded.colour)
         )
 
     def test_unknown_fields_are_ignored_and_none_fills_an_optional_one(self) -> None:
-        found = reader(Plain)({**GOOD, "novel": 1, "colour": None})
-        self.assertIsNone(found.colour)
+        decoded = reader(Plain)({**GOOD, "novel": 1, "colour": None})
+        self.assertIsNone(decoded.colour)
 
     def test_each_wrong_type_is_refused_by_field(self) -> None:
         wrong = {
@@ -80,8 +80,8 @@
             try:
                 reader(Plain)({**GOOD, name: value})
                 self.fail(name)
-            except CodecError as fault:
-                self.assertIn(name, str(fault))
+            except CodecError as error:
+                self.assertIn(name, str(error))
 
     def test_a_bool_is_no_number_and_a_text_is_none_either(self) -> None:
         for value in (True, "1", None):
--- a/tests/nodes/test_planner.py
+++ b/tests/nodes/test_planner.py
@@ -74,7 +74,7 @@
             standbys=tuple(peer(each) for each in str(more.get("standbys", ""))),
         )
         self.rows.groups[row.group] = row
-        for each in row.everyone:
+        for each in row.all_peers:
             self.rows.instances[each.node] = InstanceRow(each.node, row.group, row.epoch)
         self.report(row)
         return row
