--- a/packages/ochreway-core/src/ochreway_core/__init__.py
+++ b/packages/ochreway-core/src/ochreway_core/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Decisions of ochreway without input or output."""
+"""Types, messages and decision logic of ochreway, free of I/O."""
--- a/packages/ochreway-core/src/ochreway_core/attemptid.py
+++ b/packages/ochreway-core/src/ochreway_core/attemptid.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class AttemptId:
-    """Name an attempt by its entry, the entry's incarnation and a sequence number."""
+    """Identify an attempt by its entry, the entry's incarnation and a sequence number."""
 
     entry: NodeId
     incarnation: Incarnation
--- a/packages/ochreway-core/src/ochreway_core/attemptledger.py
+++ b/packages/ochreway-core/src/ochreway_core/attemptledger.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What an agent knows of each attempt it was ever sent."""
+"""An agent's record of the attempts that it received."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -12,12 +12,15 @@
 from ochreway_core.reason import Reason
 
 MAX_RETAINED_BYTES = 256 * 1024
+"""Bound on the bytes of one answer that are kept for resumption."""
 RESUME_WINDOW_S = 10.0
+"""For how long a complete answer is kept, as its entry may resume it."""
 SWEEP_INTERVAL_S = 5.0
+"""Interval at which expired attempts are removed."""
 
 
 class AttemptState(Enum):
-    """Say how far an attempt has come at the agent."""
+    """State of an attempt at the agent."""
 
     QUEUED = "queued"
     HANDED_OVER = "handed"
@@ -26,7 +29,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """Keep what an answer holds so far, so that it can be resumed on a new link."""
+    """Keep the latest part of an answer, so that it can be resumed on a new link."""
 
     retained: bytearray = field(default_factory=bytearray)
     retained_from: int = 0
@@ -38,11 +41,11 @@
 
     @property
     def length(self) -> int:
-        """Return how many bytes the target has given."""
+        """Return how many bytes the target has sent."""
         return self.retained_from + len(self.retained)
 
     def add(self, payload: bytes) -> None:
-        """Keep a piece, and forget the oldest bytes beyond the bound."""
+        """Append a piece and drop the oldest bytes beyond the bound."""
         self.retained += payload
         excess = len(self.retained) - MAX_RETAINED_BYTES
         if excess > 0:
@@ -50,12 +53,12 @@
             self.retained_from += excess
 
     def drop_bytes(self) -> None:
-        """Forget every byte, but not how many there were."""
+        """Drop all bytes, but keep their count."""
         self.retained_from = self.length
         self.retained.clear()
 
     def since(self, offset: int) -> bytes | None:
-        """Return what follows the offset, or ``None`` when that is not kept any more."""
+        """Return the bytes from the offset on, or ``None`` if they are no longer retained."""
         if not self.retained_from <= offset <= self.length:
             return None
         return bytes(self.retained[offset - self.retained_from :])
@@ -76,7 +79,7 @@
 
 
 class AttemptLedger:
-    """Remember attempts until nobody may ask for them again."""
+    """Keep attempts until no entry may ask for them again."""
 
     def __init__(self) -> None:
         self._records: dict[AttemptId, AttemptRecord] = {}
@@ -87,15 +90,15 @@
         return len(self._records)
 
     def get(self, attempt: AttemptId) -> AttemptRecord | None:
-        """Return what is known of the attempt."""
+        """Return the record of an attempt, or ``None`` without one."""
         return self._records.get(attempt)
 
     def add(self, attempt: AttemptId, record: AttemptRecord) -> None:
-        """Remember a new attempt."""
+        """Add the record of a new attempt."""
         self._records[attempt] = record
 
     def expire(self, now_s: float) -> None:
-        """Drop the answers of attempts that ended a while ago, and later the attempts."""
+        """Drop answers whose resume window has passed, and attempts that have expired."""
         while self._resumable and self._resumable[0][0] < now_s:
             self._resumable.popleft()[1].answer.drop_bytes()
         if now_s < self._next_sweep_s:
@@ -110,7 +113,7 @@
             del self._records[attempt]
 
     def retain_answer(self, record: AttemptRecord, now_s: float) -> None:
-        """Keep a whole answer for as long as its entry may ask for it again."""
+        """Keep a complete answer for the resume window."""
         self._resumable.append((now_s + RESUME_WINDOW_S, record))
 
 
--- a/packages/ochreway-core/src/ochreway_core/backoff.py
+++ b/packages/ochreway-core/src/ochreway_core/backoff.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class Backoff:
-    """Wait longer after each failure, by a random share of a doubling bound."""
+    """Produce random delays below a bound that doubles with each failure."""
 
     base_s: float
     max_s: float
@@ -15,11 +15,11 @@
     failures: int = 0
 
     def reset(self) -> None:
-        """Start again from the base."""
+        """Reset the bound to the base after a success."""
         self.failures = 0
 
     def next_delay_s(self) -> float:
-        """Return how long to wait after one more failure."""
+        """Count a failure and return how long to wait after it."""
         bound_s = min(self.max_s, self.base_s * 2.0 ** min(self.failures, 16))
         self.failures += 1
         return self.random.uniform(self.base_s / 2, bound_s)
--- a/packages/ochreway-core/src/ochreway_core/bodydelta.py
+++ b/packages/ochreway-core/src/ochreway_core/bodydelta.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What differs between two bodies: everything but their common beginning and end.
+"""Delta between two bodies: everything except their common beginning and end.
 
-A change of configuration mostly touches one place of a long bundle.
+A configuration change mostly touches one place of a long bundle.
 """
 
 import os.path
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyDelta:
-    """Hold how much of the base's beginning and end stays, and what stands between."""
+    """Hold how many bytes of the base's beginning and end stay, and the compressed middle."""
 
     beginning: int
     end: int
@@ -19,7 +19,7 @@
 
 
 def delta_between(base: bytes, body: bytes) -> BodyDelta:
-    """Return what turns the base into the body."""
+    """Return the delta that turns the base into the body."""
     beginning = len(os.path.commonprefix([base, body]))
     max_end = min(len(base), len(body)) - beginning
     end = min(max_end, len(os.path.commonprefix([base[::-1], body[::-1]])))
@@ -29,8 +29,13 @@
 def apply_delta(base: bytes, delta: BodyDelta, max_bytes: int) -> bytes:
     """Return the body that a delta makes of the base.
 
+    Args:
+        base: the body that the delta starts from.
+        delta: the changes.
+        max_bytes: the bound on the decompressed middle.
+
     Raises:
-        zlib.error: when the delta does not unpack.
+        zlib.error: if the delta cannot be decompressed.
     """
     middle = zlib.decompressobj().decompress(delta.packed, max_bytes)
     return base[: delta.beginning] + middle + base[len(base) - delta.end :]
--- a/packages/ochreway-core/src/ochreway_core/bundle.py
+++ b/packages/ochreway-core/src/ochreway_core/bundle.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The bundle: what operators want served, as one immutable document."""
+"""The bundle: one immutable document that describes what to serve."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 class Section(BaseModel):
-    """Be strict: unknown keys are faults, values are not converted."""
+    """Base of the sections; rejects unknown keys and does not convert values."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
 
 class Weights(Section):
-    """Weigh a second of group downtime against a stranded instance-second."""
+    """Weights of a second of group downtime and of a stranded instance-second."""
 
     downtime: float = Field(default=1.0, gt=0)
     stranded: float = Field(default=1.0, gt=0)
@@ -46,7 +46,7 @@
 
 
 class Legacy(Section):
-    """Send a share of a model's requests to targets that other tools still run."""
+    """Send a share of a model's requests to targets that are not managed by ochreway."""
 
     share_percent: Percent
     targets: list[str] = Field(default_factory=list)
@@ -78,7 +78,7 @@
 
 
 class Group(Section):
-    """Give instances of one fabric domain to replicas of one model or service."""
+    """Assign instances of one fabric domain to replicas of one model or service."""
 
     name: Name
     domain: Name
@@ -108,12 +108,12 @@
 
     @property
     def target(self) -> str:
-        """Return the name of what the group serves."""
+        """Return the name of the model or service that the group serves."""
         return self.model or self.service or ""
 
     @property
     def kind(self) -> TargetKind:
-        """Return the kind of what the group serves."""
+        """Return whether the group serves a model or a service."""
         return TargetKind.MODEL if self.model else TargetKind.SERVICE
 
     def replica_ids(self) -> list[GroupId]:
@@ -122,7 +122,7 @@
 
 
 class Organisation(Section):
-    """Describe one caller organisation and its limits."""
+    """Describe one calling organisation and its limits."""
 
     name: Name
     token_sha256: Annotated[str, StringConstraints(pattern=r"^[0-9a-f]{64}$")]
@@ -134,7 +134,7 @@
 
 
 class Bundle(Section):
-    """State what is to be served, where, and for whom."""
+    """Describe what is served, where and for whom."""
 
     format: int = Field(ge=1, le=1)
     name: Name
@@ -173,7 +173,7 @@
         return next((service for service in self.service if service.name == name), None)
 
     def artifact(self, group: Group) -> str:
-        """Return what the group's engines must have loaded, as one comparable string."""
+        """Return what the group's engines must load, as one comparable string."""
         model = self.model_named(group.target)
         if model is None:
             return f"service:{group.target}"
@@ -198,16 +198,16 @@
 def _no_repeats(what: str, names: list[str]) -> None:
     repeated = sorted(name for name, count in Counter(names).items() if count > 1)
     if repeated:
-        raise ValueError(f"{what} repeat: {', '.join(repeated)}; each may stand once")
+        raise ValueError(f"{what} repeat: {', '.join(repeated)}; each may appear only once")
 
 
 def bundle_hash(body: bytes) -> BundleHash:
-    """Return the name of a bundle's bytes."""
+    """Return the hash that identifies a bundle's bytes."""
     return BundleHash(hashlib.sha256(body).hexdigest())
 
 
 def parse_bundle(body: bytes) -> Result[Bundle, list[str]]:
-    """Read a bundle, or return every fault with its line or key path.
+    """Parse a bundle, or return every fault with its line or key path.
 
     Args:
         body: TOML in UTF-8.
--- a/packages/ochreway-core/src/ochreway_core/chunk.py
+++ b/packages/ochreway-core/src/ochreway_core/chunk.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A piece of a target's answer."""
+"""Part of a target's answer."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """Hold bytes of an answer and how many tokens they are; ``last`` ends a whole answer."""
+    """Hold bytes of an answer and their token count; ``last`` ends a complete answer."""
 
     payload: bytes
     tokens: int
--- a/packages/ochreway-core/src/ochreway_core/claimround.py
+++ b/packages/ochreway-core/src/ochreway_core/claimround.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An entry's count of votes on one key."""
+"""An entry's vote count on one idempotency key."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class ClaimState(Enum):
-    """Say how a claim stands."""
+    """State of a claim by the votes so far."""
 
     OPEN = "open"
     WON = "won"
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class ClaimRound:
-    """Count votes; a claim is won with a majority of every set of homes."""
+    """Count votes; a claim is won with a majority in every set of homes."""
 
     home_sets: list[frozenset[NodeId]]
     give_up_s: float
@@ -29,17 +29,17 @@
 
     @property
     def homes(self) -> frozenset[NodeId]:
-        """Return every home that is asked."""
+        """Return every home that votes."""
         return frozenset().union(*self.home_sets)
 
     def record_vote(self, node: NodeId, vote: Vote, outcome: Outcome) -> None:
-        """Count a vote; the first one of a home stands."""
+        """Count a home's vote; only its first one counts."""
         self.votes.setdefault(node, vote)
         if vote is Vote.TAKEN and outcome is Outcome.ANSWERED:
             self.holder_outcome = outcome
 
     def state(self) -> ClaimState:
-        """Return how the claim stands by the votes so far."""
+        """Return the claim's state by the votes so far."""
         if not self.home_sets:
             return ClaimState.LOST
         if all(self._granted(each) >= _majority(each) for each in self.home_sets):
@@ -49,7 +49,7 @@
         return self.final_state()
 
     def final_state(self) -> ClaimState:
-        """Return what a claim that can no longer be won came to."""
+        """Return the state of a claim that can no longer be won."""
         taken = Vote.TAKEN in self.votes.values()
         return ClaimState.TAKEN if taken else ClaimState.LOST
 
--- a/packages/ochreway-core/src/ochreway_core/codec.py
+++ b/packages/ochreway-core/src/ochreway_core/codec.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Compact encoding of dataclasses, checked when read."""
+"""Compact CBOR encoding of dataclasses, type-checked when decoded."""
 
 import dataclasses
 from collections.abc import Callable
@@ -63,7 +63,7 @@
     """Build a dataclass from its fields in order.
 
     Raises:
-        CodecError: when their number or a type is wrong.
+        CodecError: if their number or a type is wrong.
     """
     names = _names(kind)
     if len(names) != len(values):
@@ -82,10 +82,10 @@
 
 
 def decode(kind: type[T], content: bytes) -> T:
-    """Read a dataclass from CBOR.
+    """Decode a dataclass from CBOR.
 
     Raises:
-        CodecError: when the bytes are not CBOR or not of this type.
+        CodecError: if the bytes are not CBOR or not of this type.
     """
     try:
         values = cbor2.loads(content)
--- a/packages/ochreway-core/src/ochreway_core/crashnews.py
+++ b/packages/ochreway-core/src/ochreway_core/crashnews.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Messages on requests under which targets end.
+"""Messages about requests that crash targets.
 
-They stand apart from the native messages, as direct entries send them too: importing those takes
-an entry 7 MB and time at each start, most for the library of signatures.
+They are separate from the native messages because direct entries send them too: importing the
+native messages costs an entry 7 MB and start time, mostly for the signature library.
 """
 
 from dataclasses import dataclass
@@ -14,9 +14,9 @@
 @message(80)
 @dataclass(frozen=True, slots=True)
 class CrashNews:
-    """Tell other entries under which requests targets have ended.
+    """Tell other entries which requests crashed targets.
 
-    ``asks`` has the receiver tell all that counts in return, as its sender has just begun.
+    ``asks`` requests all current sightings in return, as the sender has just started.
     """
 
     sightings: tuple[CrashSighting, ...]
--- a/packages/ochreway-core/src/ochreway_core/crashsighting.py
+++ b/packages/ochreway-core/src/ochreway_core/crashsighting.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What one process tells another of the targets that ended under a request."""
+"""What processes exchange about the targets that crashed under a request."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeenCrash:
-    """Name a target that ended under a request, and how long ago."""
+    """Name a target that crashed under a request, and how long ago."""
 
     target: InstanceId
     age_s: float
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashSighting:
-    """Tell what is known of one request.
+    """Describe what is known about one request.
 
-    ``asked_age_s`` is how long ago it was last asked for, or a target last ended under it.
-    ``cleared_age_s`` is how long ago a target last ran it to its end and went on, if any did.
+    ``asked_age_s`` is how long ago it was last received, or last crashed a target.
+    ``cleared_age_s`` is how long ago a target last completed it and survived, if any did.
     """
 
     fingerprint: Fingerprint
--- a/packages/ochreway-core/src/ochreway_core/drainedhalls.py
+++ b/packages/ochreway-core/src/ochreway_core/drainedhalls.py
@@ -8,17 +8,17 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainedHalls:
-    """Name the halls that get nothing new, as of one reading of the platform's store.
+    """Name the halls that receive no new work, as of one read of the platform's store.
 
-    ``version`` is that of the reading, not of a row: a hall that was taken back leaves no row, so
-    only the newest reading as a whole tells which halls are drained. 0 is before any reading.
+    ``version`` is that of the read, not of a row: a hall that was restored leaves no row, so only
+    the newest complete read says which halls are drained. 0 means that nothing was read yet.
     """
 
     version: int = 0
     halls: tuple[HallId, ...] = ()
 
     def newer_than(self, other: "DrainedHalls") -> bool:
-        """Tell whether this was read from a newer state of the store."""
+        """Return whether this was read from a newer state of the store."""
         return self.version > other.version
 
 
--- a/packages/ochreway-core/src/ochreway_core/effects.py
+++ b/packages/ochreway-core/src/ochreway_core/effects.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What a node asks the shell around it to do."""
+"""Effects that a node asks the shell around it to perform."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOver:
-    """Give an attempt to the target, unless the time is past ``valid_until_s``."""
+    """Hand an attempt to the target, unless ``valid_until_s`` has passed."""
 
     submit: Submit
     valid_until_s: float
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderTarget:
-    """Make the target load what the order says, unless the time is past ``valid_until_s``."""
+    """Send the target an order to load an artifact, unless ``valid_until_s`` has passed."""
 
     order: TargetOrder
     valid_until_s: float
 
 
 class TableUse(Enum):
-    """Say which part of a node a table answer is for."""
+    """Part of a node that a table reply is for."""
 
     VIEW = "view"
     CONTROLLER = "controller"
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TableRead:
-    """Read every row below the prefixes."""
+    """Read all rows whose keys begin with one of the prefixes."""
 
     use: TableUse
     call: int
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchBody:
-    """Read a bundle's body from the object store."""
+    """Fetch a bundle's body from the object store."""
 
     bundle: BundleHash
 
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """End a request toward its caller."""
+    """End a request and report its outcome to the caller."""
 
     request: RequestId
     outcome: Outcome
--- a/packages/ochreway-core/src/ochreway_core/errors.py
+++ b/packages/ochreway-core/src/ochreway_core/errors.py
@@ -7,7 +7,7 @@
 
 
 class InvariantViolation(OchrewayError):
-    """A state that must never be reached was reached."""
+    """An invariant was violated."""
 
 
 class BundleError(OchrewayError):
@@ -19,7 +19,7 @@
 
 
 class CodecError(OchrewayError):
-    """Bytes do not decode to the type that was expected."""
+    """Bytes do not decode to the expected type."""
 
 
 __all__ = ["BundleError", "CodecError", "InvariantViolation", "OchrewayError", "SignatureInvalid"]
--- a/packages/ochreway-core/src/ochreway_core/gate.py
+++ b/packages/ochreway-core/src/ochreway_core/gate.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A leader's admission gate: open only while every member's grant is fresh."""
+"""A leader's admission gate, open only while all members' grants are fresh."""
 
 from dataclasses import dataclass, field
 
@@ -9,6 +9,7 @@
 from ochreway_core.rows import GroupRow
 
 MAX_SENT_HEARTBEATS = 16
+"""Bound on the heartbeats whose send time is kept for counting grants."""
 
 
 @dataclass(slots=True)
@@ -18,12 +19,12 @@
     leaving: bool = False
     granted_once: bool = False
     last_answered: int = 0
-    """The newest heartbeat that the member has answered."""
+    """Sequence number of the newest heartbeat that the member answered."""
 
 
 @dataclass(slots=True)
 class LeaderGate:
-    """Count grants from when the answered heartbeat was sent, on this process's clock."""
+    """Count each grant from the time its heartbeat was sent, on this process's clock."""
 
     row: GroupRow
     ttl_s: float
@@ -39,18 +40,18 @@
         return [self._members[peer.node] for peer in self.row.members]
 
     def update_row(self, row: GroupRow) -> None:
-        """Take a later step of the same epoch; the grants stay."""
+        """Set the row to a later step of the same epoch; the grants stay."""
         self.row = row
 
     def next_heartbeat(self, now_s: float) -> int:
-        """Return the sequence number of a heartbeat that is sent now."""
+        """Return the sequence number for a heartbeat sent now."""
         self.sequence += 1
         self._heartbeat_sent_s[self.sequence] = now_s
         self._heartbeat_sent_s.pop(self.sequence - MAX_SENT_HEARTBEATS, None)
         return self.sequence
 
     def record_grant(self, node: NodeId, sequence: int, ready: bool, leaving: bool) -> None:
-        """Count a member's grant."""
+        """Record a member's grant."""
         member = self._members.get(node)
         sent_s = self._heartbeat_sent_s.get(sequence)
         if member is None or sent_s is None:
@@ -63,13 +64,13 @@
         member.granted_once = True
 
     def record_reply(self, node: NodeId, sequence: int) -> None:
-        """Note that a member answered a heartbeat, by a grant or a refusal."""
+        """Record that a member answered a heartbeat by a grant or a refusal."""
         member = self._members.get(node)
         if member is not None and sequence in self._heartbeat_sent_s:
             member.last_answered = max(member.last_answered, sequence)
 
     def all_answered(self, sequence: int, now_s: float, excluded: NodeId) -> bool:
-        """Tell whether all others answered a heartbeat or a later one, or are known to be gone."""
+        """Return whether all others answered this or a later heartbeat, or their grants lapsed."""
         return all(
             member.last_answered >= sequence or now_s >= member.granted_until_s
             for node, member in self._members.items()
@@ -77,17 +78,17 @@
         )
 
     def knows_row(self, node: NodeId) -> bool:
-        """Tell whether the member has granted this epoch at least once."""
+        """Return whether the member has granted this epoch at least once."""
         return self._members[node].granted_once
 
     def mark_row_unknown(self, node: NodeId) -> None:
-        """Note that the member does not know the row, as after its restart."""
+        """Record that the member does not know the row, for example after a restart."""
         member = self._members.get(node)
         if member is not None:
             member.granted_once = False
 
     def is_leaving(self, node: NodeId) -> bool:
-        """Tell whether the member said that it is leaving."""
+        """Return whether the member reported that it is leaving."""
         return self._members[node].leaving
 
     def missing(self, now_s: float) -> tuple[NodeId, ...]:
@@ -96,7 +97,7 @@
         return tuple(node for node in members if now_s >= self._members[node].granted_until_s)
 
     def lost_members(self, now_s: float, after_s: float) -> list[Peer]:
-        """Return the members whose grants lapsed that long ago, or never came."""
+        """Return the members whose grants lapsed longer than ``after_s`` ago or never came."""
         since_s = self.began_s + self.ttl_s
         return [
             peer
@@ -105,7 +106,7 @@
         ]
 
     def available_standbys(self, now_s: float) -> list[Peer]:
-        """Return the standbys that could take a member's place."""
+        """Return the standbys that could replace a member."""
         return [
             peer
             for peer in self.row.standbys
@@ -119,7 +120,7 @@
         return min(each.granted_until_s for each in self._active())
 
     def closed_reason(self, now_s: float) -> Reason:
-        """Return why the gate is closed, or ``NONE`` when it is open."""
+        """Return why the gate is closed, or ``NONE`` if it is open."""
         members = self._active()
         checks = (
             (Reason.GROUP_INCOMPLETE, any(now_s >= each.granted_until_s for each in members)),
--- a/packages/ochreway-core/src/ochreway_core/grant.py
+++ b/packages/ochreway-core/src/ochreway_core/grant.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A member's promise to one leader at a time."""
+"""A member's grant to one leader at a time."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeniedGrant:
-    """Say why a grant is refused and how long that may last."""
+    """Hold why a grant is refused and how long that may last."""
 
     reason: Reason
     wait_s: float
@@ -20,8 +20,7 @@
 class MemberGrant:
     """Grant one epoch, and a higher one only after the former lapsed or was returned.
 
-    A process that starts has forgotten what it granted, so it grants nothing for one time
-    to live.
+    A restarted process does not know what it granted before, so it grants nothing for one TTL.
     """
 
     def __init__(self, ttl_s: float, now_s: float) -> None:
@@ -32,11 +31,11 @@
         self.highest_epoch = NO_EPOCH
 
     def observe_epoch(self, epoch: Epoch) -> None:
-        """Renew nothing below this epoch from now on."""
+        """Record an epoch; grants of lower ones are no longer renewed."""
         self.highest_epoch = max(self.highest_epoch, epoch)
 
     def request(self, epoch: Epoch, now_s: float) -> Result[None, DeniedGrant]:
-        """Grant the epoch or say why not."""
+        """Grant or renew an epoch, or return why not."""
         self.observe_epoch(epoch)
         if epoch < self.highest_epoch:
             return Err(DeniedGrant(Reason.STALE_EPOCH, 0.0))
@@ -48,17 +47,17 @@
         return Ok(None)
 
     def can_grant(self, epoch: Epoch, now_s: float) -> bool:
-        """Tell whether nothing granted before stands in the way of the epoch."""
+        """Return whether no earlier grant prevents granting the epoch."""
         if now_s < self._startup_until_s:
             return False
         return epoch == self.epoch or now_s >= self._until_s
 
     def is_fresh(self, epoch: Epoch, now_s: float) -> bool:
-        """Tell whether the epoch's grant stands."""
+        """Return whether the epoch's grant is valid now."""
         return epoch == self.epoch and now_s < self._until_s
 
     def end_grant(self, epoch: Epoch) -> None:
-        """Forget a grant that its leader gave back."""
+        """End a grant that its leader returned."""
         if epoch == self.epoch:
             self._until_s = 0.0
 
--- a/packages/ochreway-core/src/ochreway_core/ids.py
+++ b/packages/ochreway-core/src/ochreway_core/ids.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Identifiers, each its own type."""
+"""Distinct types for identifiers."""
 
 from typing import NewType
 
--- a/packages/ochreway-core/src/ochreway_core/invariants.py
+++ b/packages/ochreway-core/src/ochreway_core/invariants.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The invariants, as named checks that daemons and tests share.
+"""Named invariant checks shared by daemons and tests.
 
-A check returns nothing when it holds. Daemons install a reporter that counts and logs and
-then fail closed; tests leave the default, which raises.
+A check returns whether its condition holds. Daemons install a reporter that counts and logs a
+violation, and then fail closed; tests keep the default, which raises.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class Invariant(Enum):
-    """Name each thing that must always hold."""
+    """Names of the invariants."""
 
     GROUP_COMPLETE = "group_complete"
     ONE_GROUP = "one_group"
@@ -38,7 +38,7 @@
 
 
 def set_reporter(reporter: Reporter) -> None:
-    """Install what is told of a violation in place of raising."""
+    """Install a reporter that is called on a violation instead of raising."""
     _reporter[0] = reporter
 
 
@@ -46,7 +46,7 @@
     """Report a violation unless the condition holds, and return the condition.
 
     Raises:
-        InvariantViolation: with the default reporter, when the condition is false.
+        InvariantViolation: if the condition is false, with the default reporter.
     """
     if not condition:
         _reporter[0](invariant, detail)
@@ -54,22 +54,22 @@
 
 
 def version_moves_forward(seen: int, applied: int) -> bool:
-    """Check that no lower version is applied than was seen."""
+    """Check that the applied version is not lower than one seen before."""
     return hold(Invariant.VERSION_FORWARD, applied >= seen, f"seen={seen} applied={applied}")
 
 
 def group_is_complete(open_gate: bool, detail: str) -> bool:
-    """Check that work is handed over only through an open gate."""
+    """Check that the gate is open when work is handed over."""
     return hold(Invariant.GROUP_COMPLETE, open_gate, detail)
 
 
 def answer_is_whole(received: int, total: int, detail: str) -> bool:
-    """Check that what was delivered is as long as the answer's stated total."""
+    """Check that the delivered length equals the answer's stated total."""
     return hold(Invariant.WHOLE_ANSWER, received == total, f"{detail} {received}/{total}")
 
 
 def never_handed_over(handed_over: bool, detail: str) -> bool:
-    """Check that what is called not run was never handed over."""
+    """Check that an attempt reported as not run was never handed over."""
     return hold(Invariant.NOT_RUN_TRUE, not handed_over, detail)
 
 
--- a/packages/ochreway-core/src/ochreway_core/keyhome.py
+++ b/packages/ochreway-core/src/ochreway_core/keyhome.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A home's memory of callers' keys."""
+"""A home's record of callers' idempotency keys."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 from ochreway_core.outcome import Outcome
 
 CLOCK_SKEW_S = 1.0
-"""How far the wall clocks of callers and processes are assumed to differ at most."""
+"""Assumed bound on the difference between the wall clocks of callers and processes."""
 
 
 @dataclass(slots=True)
@@ -19,11 +19,11 @@
 
 
 class KeyHome:
-    """Grant each key to one request until its time has passed.
+    """Grant each key to one request until the key expires.
 
-    A process that starts has forgotten what it granted, so for one key memory it grants
-    only keys that were made after its start, unless it stood before the first version was
-    accepted.
+    A restarted process does not know what it granted before. So for ``memory_s`` after its start
+    it grants only keys that were issued after the start, unless it started before the first
+    version was accepted.
     """
 
     def __init__(self, memory_s: float, now_s: float, wall_s: float) -> None:
@@ -36,7 +36,7 @@
         return len(self._claims)
 
     def end_forgetful_period(self) -> None:
-        """Note that no key can have been granted before this process started."""
+        """Grant any key from now on, as this process started before the first version."""
         self._forgetful_until_s = 0.0
 
     def claim(
@@ -47,7 +47,7 @@
         issued_wall_s: float,
         now_s: float,
     ) -> tuple[Vote, Outcome]:
-        """Vote on a claim and tell what is known of the request that holds the key."""
+        """Vote on a claim; return the vote and the known outcome of the key's holder."""
         held = self._claims.get(key)
         if held is not None and held.request != request:
             return Vote.TAKEN, held.outcome
@@ -63,7 +63,7 @@
         return now_s < self._forgetful_until_s and not issued_since_start
 
     def record_outcome(self, key: KeyDigest, request: RequestId, outcome: Outcome) -> None:
-        """Note how the request that holds the key ended."""
+        """Record the outcome of the key's holder; one that did not run frees the key."""
         held = self._claims.get(key)
         if held is None or held.request != request:
             return
@@ -73,7 +73,7 @@
             held.outcome = outcome
 
     def expire(self, now_s: float) -> None:
-        """Drop the keys whose time has passed."""
+        """Remove the expired keys."""
         for key in [key for key, held in self._claims.items() if held.expires_s < now_s]:
             del self._claims[key]
 
--- a/packages/ochreway-core/src/ochreway_core/listing.py
+++ b/packages/ochreway-core/src/ochreway_core/listing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's list of instances, as one process last read it."""
+"""The platform's list of instances, as last read by one process."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class InstanceKind(Enum):
-    """Tell what runs on an instance."""
+    """What runs on an instance."""
 
     ENTRY = "entry"
     TARGET = "target"
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedInstance:
-    """Describe one instance of the platform's list; the list lags behind reality."""
+    """Describe one instance of the platform's list, which lags behind the actual state."""
 
     node: NodeId
     address: str
--- a/packages/ochreway-core/src/ochreway_core/message.py
+++ b/packages/ochreway-core/src/ochreway_core/message.py
@@ -11,7 +11,7 @@
 
 
 def message(tag: int) -> Callable[[M], M]:
-    """Register a dataclass as the message with this tag; a tag is never used again."""
+    """Register a dataclass as the message with this tag; tags are never reused."""
 
     def register(kind: M) -> M:
         if tag in MESSAGES:
--- a/packages/ochreway-core/src/ochreway_core/messages/claims.py
+++ b/packages/ochreway-core/src/ochreway_core/messages/claims.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Messages that keep a caller's key from running twice."""
+"""Messages that prevent a caller's idempotency key from running twice."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class Vote(Enum):
-    """Say how a home answers a claim."""
+    """A home's vote on a claim."""
 
     GRANTED = "granted"
     TAKEN = "taken"
@@ -21,9 +21,9 @@
 @message(40)
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Ask a home of a key to remember that this request runs under it.
+    """Ask a home of a key to record that this request runs under it.
 
-    ``issued_wall_s`` is when the caller says it made the key, 0 when it does not say.
+    ``issued_wall_s`` is when the caller states that it issued the key, or 0 if it does not.
     """
 
     version: Version
@@ -36,7 +36,7 @@
 @message(41)
 @dataclass(frozen=True, slots=True)
 class ClaimReply:
-    """Answer a claim; a taken key tells what is known of the request that holds it."""
+    """Answer a claim; for a taken key ``outcome`` is what is known of its holder."""
 
     key: KeyDigest
     request: RequestId
@@ -47,7 +47,7 @@
 @message(42)
 @dataclass(frozen=True, slots=True)
 class ClaimEnd:
-    """Tell a home how the request that holds a key ended; one that did not run frees it."""
+    """Report a key holder's outcome to a home; a holder that did not run frees the key."""
 
     key: KeyDigest
     request: RequestId
--- a/packages/ochreway-core/src/ochreway_core/messages/configuration.py
+++ b/packages/ochreway-core/src/ochreway_core/messages/configuration.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Messages that spread the configuration."""
+"""Messages that propagate the configuration."""
 
 from dataclasses import dataclass
 
@@ -16,9 +16,9 @@
 @message(60)
 @dataclass(frozen=True, slots=True)
 class ViewRequest:
-    """Ask for the version in force; sent to whoever showed a newer one.
+    """Request the version in force; sent to a process that announced a newer one.
 
-    ``have`` is the bundle in force at the asker, empty for none.
+    ``have`` is the bundle in force at the sender, empty for none.
     """
 
     have: BundleHash
@@ -27,7 +27,7 @@
 @message(61)
 @dataclass(frozen=True, slots=True)
 class ViewUpdate:
-    """Carry an accepted version."""
+    """Send an accepted version."""
 
     snapshot: Snapshot
 
@@ -35,13 +35,13 @@
 @message(66)
 @dataclass(frozen=True, slots=True)
 class ViewNotice:
-    """Show a version, in the batch that carries this, to those who follow."""
+    """Announce a version to followers; the batch that carries this message states it."""
 
 
 @message(67)
 @dataclass(frozen=True, slots=True)
 class ViewDelta:
-    """Carry an accepted version as what differs from a bundle that the asker has."""
+    """Send an accepted version as a delta to a bundle that the receiver has."""
 
     base: BundleHash
     roll: RollRow
@@ -52,10 +52,10 @@
 @message(62)
 @dataclass(frozen=True, slots=True)
 class FollowView:
-    """Ask an entry for its version and groups, and for changes for a while.
+    """Request an entry's version and groups, and their changes for a limited time.
 
-    ``digest`` is that of the domains' epoch counters that the asker has, ``listing`` that of
-    its list of instances; 0 says that it has nothing.
+    ``digest`` is that of the sender's epoch counters of the domains, ``listing`` that of its list
+    of instances; 0 means that it has none.
     """
 
     digest: int
@@ -65,10 +65,10 @@
 @message(63)
 @dataclass(frozen=True, slots=True)
 class GroupsUpdate:
-    """Carry a domain's groups as of its epoch counter.
+    """Send a domain's groups as of its epoch counter.
 
-    With a ``base`` they are those that changed since that counter, and ``gone`` those that
-    ended; without one, 0, they are all.
+    With a ``base`` they are the groups that changed since that counter, and ``gone`` are those
+    that ended; with a ``base`` of 0 they are all groups.
     """
 
     domain: DomainId
@@ -81,7 +81,7 @@
 @message(65)
 @dataclass(frozen=True, slots=True)
 class ListingUpdate:
-    """Carry what changed in the platform's list; ``whole`` replaces what was known."""
+    """Send changes of the platform's list; ``whole`` replaces the receiver's list."""
 
     whole: bool
     instances: tuple[ListedInstance, ...]
@@ -91,7 +91,7 @@
 @message(64)
 @dataclass(frozen=True, slots=True)
 class LeaveNotice:
-    """Tell an agent that the platform lists its instance as leaving."""
+    """Notify an agent that the platform lists its instance as leaving."""
 
     node: NodeId
 
@@ -99,7 +99,7 @@
 @message(68)
 @dataclass(frozen=True, slots=True)
 class HallsUpdate:
-    """Carry the drained halls to those who follow."""
+    """Send the drained halls to followers."""
 
     drained: DrainedHalls
 
--- a/packages/ochreway-core/src/ochreway_core/messages/membership.py
+++ b/packages/ochreway-core/src/ochreway_core/messages/membership.py
@@ -12,7 +12,7 @@
 @message(1)
 @dataclass(frozen=True, slots=True)
 class Order:
-    """Tell a member what the table says of its group."""
+    """Send a member its group's row from the table."""
 
     domain: DomainId
     term: Term
@@ -22,7 +22,7 @@
 @message(10)
 @dataclass(frozen=True, slots=True)
 class Dismiss:
-    """Tell an agent that it is in no group as of the domain's epoch counter."""
+    """Notify an agent that it is in no group as of the domain's epoch counter."""
 
     domain: DomainId
     counter: Epoch
@@ -41,9 +41,9 @@
 @message(2)
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Ask a member for a grant; the row rides along until the member has granted once.
+    """Request a member's grant; the row is included until the member has granted once.
 
-    ``released`` tells a member that is leaving that nothing is in flight any more.
+    ``released`` notifies a leaving member that no requests are in flight any more.
     """
 
     group: GroupId
@@ -57,7 +57,7 @@
 @message(3)
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Promise a leader to grant nobody else for the grant's time to live."""
+    """Promise a leader to grant no other leader for the grant's TTL."""
 
     group: GroupId
     epoch: Epoch
@@ -69,7 +69,7 @@
 @message(4)
 @dataclass(frozen=True, slots=True)
 class GrantRefusal:
-    """Refuse a leader a grant; ``formation`` is the one that the member knows of the epoch."""
+    """Refuse a leader a grant; ``formation`` is the epoch's one that the member knows."""
 
     group: GroupId
     epoch: Epoch
@@ -91,7 +91,7 @@
 @message(6)
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask an agent of the domain how it fares."""
+    """Request the status of an agent of the domain."""
 
     domain: DomainId
     term: Term
@@ -100,12 +100,12 @@
 @message(7)
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Tell a controller how an agent fares.
+    """Report an agent's status to a controller.
 
     ``artifact`` is what the target has loaded, empty while it loads.
-    ``granting`` says that the agent's grant to its leader is fresh; ``missing`` names the
-    members whose grants a leader lacks. ``reformed`` is the row of a formation that the
-    leader made without the table.
+    ``granting`` states that the agent's grant to its leader is fresh; ``missing`` names the
+    members whose grants a leader lacks. ``reformed`` is the row of a formation that the leader
+    made without writing to the table.
     """
 
     node: NodeId
@@ -126,7 +126,7 @@
 @message(8)
 @dataclass(frozen=True, slots=True)
 class Follow:
-    """Ask a leader for its load reports for a while."""
+    """Subscribe to a leader's load reports for a limited time."""
 
     group: GroupId
 
@@ -134,14 +134,14 @@
 @message(9)
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Tell entries whether a group takes work and how much it has.
+    """Report to entries whether a group accepts work and how much it has.
 
     ``backlog_s`` is how long the prefill ahead is expected to take, handed over or queued.
-    ``next_s`` is when the queue's first would begin its prefill.
+    ``next_s`` is in how long the first work in the queue would begin its prefill.
     ``received`` is the sequence number of the last attempt that came from the entry that the
     report is for, so the entry knows which of its own are not in the report yet.
-    ``reopens_in_s`` is for how much longer the target takes nothing, by what it asked for.
-    ``cached`` and ``evicted`` are block hashes of the engine's prefix cache, late and with gaps.
+    ``reopens_in_s`` is for how much longer the target accepts nothing, as it requested.
+    ``cached`` and ``evicted`` are block hashes of the engine's prefix cache, delayed and with gaps.
     """
 
     group: GroupId
--- a/packages/ochreway-core/src/ochreway_core/messages/requests.py
+++ b/packages/ochreway-core/src/ochreway_core/messages/requests.py
@@ -24,7 +24,7 @@
 class Submit:
     """Ask a group's leader to run one attempt.
 
-    ``incarnation`` is the agent's that the entry knows; ``body`` is what the target is given.
+    ``incarnation`` is the agent's, as known to the entry; ``body`` is passed to the target.
     """
 
     attempt: AttemptId
@@ -48,7 +48,7 @@
 @message(21)
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """Carry a piece of an answer; the last one states the total length.
+    """Carry part of an answer; the last frame states the total length.
 
     ``status`` is the HTTP status of a plain service's answer, 0 for a model's.
     """
@@ -65,7 +65,7 @@
 @message(22)
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """End an attempt without a whole answer."""
+    """End an attempt without a complete answer."""
 
     attempt: AttemptId
     outcome: Outcome
@@ -76,7 +76,7 @@
 @message(23)
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """Forbid an attempt that has not been handed over, or resume its answer at an offset."""
+    """Forbid an attempt that was not handed over yet, or resume its answer at an offset."""
 
     attempt: AttemptId
     incarnation: Incarnation
@@ -86,7 +86,7 @@
 @message(24)
 @dataclass(frozen=True, slots=True)
 class Settled:
-    """Answer a withdrawal whose attempt will send nothing more."""
+    """Answer a withdrawal of an attempt that will send nothing more."""
 
     attempt: AttemptId
     outcome: Outcome
@@ -96,7 +96,7 @@
 @message(25)
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop the target's work on an attempt: its caller has gone or its time is up."""
+    """Stop the target's work on an attempt whose caller disconnected or deadline passed."""
 
     attempt: AttemptId
 
@@ -104,7 +104,7 @@
 @message(26)
 @dataclass(frozen=True, slots=True)
 class Credit:
-    """Tell the agent how many bytes of an answer the entry has passed on."""
+    """Report to the agent how many bytes of an answer the entry has passed on."""
 
     attempt: AttemptId
     passed: int
--- a/packages/ochreway-core/src/ochreway_core/outcome.py
+++ b/packages/ochreway-core/src/ochreway_core/outcome.py
@@ -5,7 +5,7 @@
 
 
 class Outcome(Enum):
-    """Say what is known of a request that has ended."""
+    """What is known about a request that has ended."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
--- a/packages/ochreway-core/src/ochreway_core/peer.py
+++ b/packages/ochreway-core/src/ochreway_core/peer.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A process that can be reached."""
+"""Name and address of a process."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """Pair a node with the ``host:port`` its links are accepted at."""
+    """Pair a node with the ``host:port`` at which it accepts links."""
 
     node: NodeId
     address: str
--- a/packages/ochreway-core/src/ochreway_core/priority.py
+++ b/packages/ochreway-core/src/ochreway_core/priority.py
@@ -5,7 +5,7 @@
 
 
 class Priority(IntEnum):
-    """Order requests; a lower value goes first."""
+    """Priority of a request; lower values are served first."""
 
     VISIT = 0
     NORMAL = 1
--- a/packages/ochreway-core/src/ochreway_core/reading.py
+++ b/packages/ochreway-core/src/ochreway_core/reading.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Building dataclasses from plain values, with every type checked.
+"""Conversion of plain values to dataclasses, with every type checked.
 
-A reader is made once for each type, from its annotations. A validation library does the same and
-more; importing it and making its schemas took a starting entry 0.2 s, for which nobody answered.
+A reader is built once for each type, from its annotations. A validation library would do the same,
+but importing it and building its schemas adds 0.2 s to the start of an entry, during which it
+answers no request.
 """
 
 import dataclasses
@@ -16,10 +17,10 @@
 from ochreway_core.errors import CodecError
 
 Reader = Callable[[Any], Any]
-"""Return what a plain value stands for.
+"""Convert a plain value to the reader's type.
 
 Raises:
-    CodecError: when it is of another type.
+    CodecError: if it is of another type.
 """
 
 
@@ -153,7 +154,7 @@
     """Return the reader of a type.
 
     Raises:
-        CodecError: when values of the type cannot be read.
+        CodecError: if values of the type cannot be read.
     """
     if kind in _PLAIN:
         return _PLAIN[kind]
--- a/packages/ochreway-core/src/ochreway_core/reason.py
+++ b/packages/ochreway-core/src/ochreway_core/reason.py
@@ -5,7 +5,7 @@
 
 
 class Reason(Enum):
-    """Name why a request was refused, retried or cut."""
+    """Why a request was refused, retried or cut off."""
 
     NONE = "none"
     BAD_REQUEST = "bad_request"
--- a/packages/ochreway-core/src/ochreway_core/reassembly.py
+++ b/packages/ochreway-core/src/ochreway_core/reassembly.py
@@ -1,23 +1,24 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An answer put together from frames that may come late, doubled or out of order."""
+"""Reassembly of an answer from frames that may be late, duplicated or out of order."""
 
 from dataclasses import dataclass, field
 
 from ochreway_core.messages.requests import Frame
 
 MAX_HELD_FRAMES = 256
+"""Bound on the frames kept that arrived early; further ones are dropped."""
 
 
 @dataclass(slots=True)
 class Reassembly:
-    """Pass on each byte of an answer once and in order."""
+    """Release each byte of an answer once and in order."""
 
     received: int = 0
     total: int | None = None
     _held: dict[int, Frame] = field(default_factory=dict)
 
     def add(self, frame: Frame) -> list[Frame]:
-        """Return the frames that can be passed on now, trimmed of what went before."""
+        """Return the frames that can be passed on now, without bytes passed on before."""
         if frame.total is not None:
             self.total = frame.total
         if frame.offset > self.received:
@@ -34,7 +35,7 @@
         return ready
 
     def _hold(self, frame: Frame) -> None:
-        """Keep a frame that came early, the longest of those that begin alike."""
+        """Keep a frame that arrived early; of those with one offset the longest is kept."""
         known = self._held.get(frame.offset)
         if known is None and len(self._held) >= MAX_HELD_FRAMES:
             return
@@ -47,7 +48,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether every byte of the stated total has been passed on."""
+        """Return whether every byte of the stated total has been passed on."""
         return self.total is not None and self.received == self.total
 
 
--- a/packages/ochreway-core/src/ochreway_core/rendezvous.py
+++ b/packages/ochreway-core/src/ochreway_core/rendezvous.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Rendezvous hashing: processes agree on an order without talking."""
+"""Rendezvous hashing: processes agree on an order without communication."""
 
 from collections.abc import Iterable
 from typing import TypeVar
--- a/packages/ochreway-core/src/ochreway_core/request.py
+++ b/packages/ochreway-core/src/ochreway_core/request.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One caller's request, as the entry understands it."""
+"""A caller's request, as parsed by the entry."""
 
 from dataclasses import dataclass
 
--- a/packages/ochreway-core/src/ochreway_core/rows.py
+++ b/packages/ochreway-core/src/ochreway_core/rows.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The rows that the system keeps in the platform's table, and their keys."""
+"""Rows that the system stores in the platform's table, and their keys."""
 
 from dataclasses import dataclass
 
@@ -20,11 +20,11 @@
 from ochreway_core.targetkind import TargetKind
 
 MAX_FORMATIONS = 1000
-"""How many formations an epoch may have, as their number is part of the fence."""
+"""Bound on the formations of an epoch, as the formation number is part of the fence."""
 
 
 def fence_of(epoch: Epoch) -> Epoch:
-    """Return the fence of an epoch's first formation."""
+    """Return the fencing token of an epoch's first formation."""
     return Epoch(epoch * MAX_FORMATIONS)
 
 
@@ -42,8 +42,8 @@
 class GroupRow:
     """Hold one serving group; its first member leads.
 
-    Standbys belong to the group too. Its leader may put one in a lost member's place without
-    the table, which makes another formation of the same epoch.
+    Standbys belong to the group too. Its leader may replace a lost member by a standby without
+    writing to the table, which makes another formation of the same epoch.
     """
 
     group: GroupId
@@ -63,12 +63,12 @@
 
     @property
     def order_key(self) -> tuple[int, int, int]:
-        """Return what orders the rows of a group."""
+        """Return the key that orders the rows of a group by age."""
         return self.epoch, self.formation, self.step
 
     @property
     def fence(self) -> Epoch:
-        """Return what fences orders to the group's targets."""
+        """Return the fencing token of orders to the group's targets."""
         return Epoch(fence_of(self.epoch) + self.formation)
 
     @property
@@ -77,7 +77,7 @@
         return self.members + self.standbys
 
     def has_member(self, node: NodeId) -> bool:
-        """Tell whether the node is a member, not a standby."""
+        """Return whether the node is a member, not a standby."""
         return any(peer.node == node for peer in self.members)
 
     @property
@@ -86,13 +86,13 @@
         return self.members[0]
 
     def includes(self, node: NodeId) -> bool:
-        """Tell whether the node is a member or a standby."""
+        """Return whether the node is a member or a standby."""
         return any(peer.node == node for peer in self.all_peers)
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceRow:
-    """Hold the one group that an instance belongs to."""
+    """Hold the single group that an instance belongs to."""
 
     node: NodeId
     group: GroupId
@@ -111,9 +111,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RollRow:
-    """Record one accepted version for good.
+    """Record one accepted version permanently.
 
-    ``former`` holds the key keepers of versions that were superseded a short while before.
+    ``former`` holds the key keepers of recently superseded versions.
     """
 
     scope: ScopeId
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HallsRow:
-    """Hold a scope's drained halls and the change that made it so."""
+    """Hold a scope's drained halls and the change that set them."""
 
     scope: ScopeId
     drained: DrainedHalls
@@ -168,7 +168,7 @@
 
 
 def roll_key(scope: str, version: int) -> str:
-    """Return the key of one version's record."""
+    """Return the key of a version's roll row."""
     return f"roll/{scope}/{version:010d}"
 
 
@@ -178,7 +178,7 @@
 
 
 def halls_change_key(scope: str, version: int) -> str:
-    """Return the key of the record of one change to the drained halls."""
+    """Return the key of the row that records one change to the drained halls."""
     return f"halls-change/{scope}/{version:010d}"
 
 
--- a/packages/ochreway-core/src/ochreway_core/signoff.py
+++ b/packages/ochreway-core/src/ochreway_core/signoff.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Sign-off of bundles: Ed25519 signatures over a bundle's hash."""
+"""Approval of bundles by Ed25519 signatures over the bundle's hash."""
 
 from dataclasses import dataclass
 
@@ -30,7 +30,7 @@
     """Sign a bundle's hash.
 
     Raises:
-        SignatureInvalid: when the author would approve their own bundle.
+        SignatureInvalid: if the approver is the author.
     """
     if author == approver:
         raise SignatureInvalid("a bundle is approved by someone other than its author")
@@ -42,12 +42,12 @@
     """Check that a known approver, not the author, signed this bundle.
 
     Args:
-        approval: what is claimed.
-        bundle: the hash of the bytes at hand.
+        approval: the approval to check.
+        bundle: the hash of the bundle's actual bytes.
         keys: the public key of each operator that may approve.
 
     Raises:
-        SignatureInvalid: when any of it does not hold.
+        SignatureInvalid: if any check fails.
     """
     if approval.bundle != bundle:
         raise SignatureInvalid("the approval is for another bundle")
--- a/packages/ochreway-core/src/ochreway_core/table.py
+++ b/packages/ochreway-core/src/ochreway_core/table.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What the platform's transactional table is asked and what it answers."""
+"""Requests to the platform's transactional table, and its replies."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """Hold one row's content and the revision that its last write gave it."""
+    """Hold one row's content and the revision of its last write."""
 
     revision: int
     content: bytes
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """Require a row to stand at a revision."""
+    """Require a row to be at a revision."""
 
     key: str
     revision: int
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Write rows if every condition holds, else nothing; ``None`` deletes a row."""
+    """Write all rows if every condition holds, else none; ``None`` deletes a row."""
 
     change: ChangeId
     conditions: tuple[Condition, ...]
@@ -37,9 +37,9 @@
 
 
 class CommitStatus(Enum):
-    """Say what became of a transaction.
+    """Result of a transaction.
 
-    ``LOST`` means that nobody knows: it may have taken effect or may yet do so.
+    ``LOST`` means unknown: the transaction may have taken effect or may still do so.
     """
 
     COMMITTED = "committed"
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommitReply:
-    """Answer a transaction; ``revision`` is the one given to every row it wrote."""
+    """Reply to a transaction; ``revision`` is that of every row it wrote."""
 
     status: CommitStatus
     revision: int = ABSENT
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadReply:
-    """Answer a read with the rows found, or with ``None`` when the table did not answer."""
+    """Reply to a read: the rows found, or ``None`` if the table did not answer."""
 
     rows: Mapping[str, Row] | None
 
--- a/packages/ochreway-core/src/ochreway_core/targetkind.py
+++ b/packages/ochreway-core/src/ochreway_core/targetkind.py
@@ -5,7 +5,7 @@
 
 
 class TargetKind(Enum):
-    """Tell a model's engine from a plain service."""
+    """Whether a target is a model's engine or a plain service."""
 
     MODEL = "model"
     SERVICE = "service"
--- a/packages/ochreway-core/src/ochreway_core/targetnotice.py
+++ b/packages/ochreway-core/src/ochreway_core/targetnotice.py
@@ -1,16 +1,16 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What a target says of itself in the head of an answer."""
+"""State that a target reports in the head of an answer."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class TargetNotice:
-    """Hold what the head of any answer says of the target that gave it.
+    """Hold what the head of an answer says about the target that sent it.
 
-    ``backoff_s`` is for how long it wants nothing more from whoever it answered, or None when it
-    does not say. One that is ``leaving`` ends soon and is to get nothing new. ``limit_per_s`` is
-    how many requests a second it takes from all callers together, or None when it names no limit.
+    ``backoff_s`` is for how long the receiver should send it nothing, or None if it does not say.
+    A target that is ``leaving`` stops soon and must receive nothing new. ``limit_per_s`` is how
+    many requests per second it accepts from all callers together, or None without a limit.
     """
 
     backoff_s: float | None = None
--- a/packages/ochreway-core/src/ochreway_core/targetorder.py
+++ b/packages/ochreway-core/src/ochreway_core/targetorder.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What a target is told to load, fenced by an epoch."""
+"""Order to a target to load an artifact, fenced by an epoch."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetOrder:
-    """Name an artifact, and the group to serve it in; none keeps it ready for one."""
+    """Name an artifact and the group to serve it in; ``NO_GROUP`` only keeps it loaded."""
 
     epoch: Epoch
     artifact: str
@@ -20,7 +20,7 @@
 
 
 def order_for(row: GroupRow) -> TargetOrder:
-    """Return the order that a group's row means for each of its targets."""
+    """Return the order for each target of a group's row."""
     members = tuple(peer.node for peer in row.members)
     return TargetOrder(row.fence, row.artifact, row.group, members)
 
--- a/packages/ochreway-core/src/ochreway_core/timing.py
+++ b/packages/ochreway-core/src/ochreway_core/timing.py
@@ -1,16 +1,16 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The durations that the protocol depends on."""
+"""Durations of the protocol."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Hold every protocol duration.
+    """Hold the protocol's durations.
 
-    A leader counts a grant for ``grant_ttl_s`` less ``clock_margin``, a share that covers the
-    difference between two monotonic clocks' rates. A drained hall may serve on for ``hall_drain_s``
-    while replacements load elsewhere, which engines take some 10 to 20 s for.
+    A leader counts a grant for ``grant_ttl_s`` minus the fraction ``clock_margin``, which covers
+    the difference in rate between two monotonic clocks. A drained hall may continue to serve for
+    ``hall_drain_s`` while replacements load elsewhere, which takes engines some 10 to 20 s.
     """
 
     tick_s: float = 0.1
@@ -41,5 +41,5 @@
 
     @property
     def leader_grant_ttl_s(self) -> float:
-        """Return how long a leader counts a grant."""
+        """Return for how long a leader counts a grant."""
         return self.grant_ttl_s * (1.0 - self.clock_margin)
--- a/packages/ochreway-core/src/ochreway_core/view.py
+++ b/packages/ochreway-core/src/ochreway_core/view.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The configuration that a process has applied."""
+"""The configuration in force at a process."""
 
 import zlib
 from collections import OrderedDict
@@ -17,14 +17,18 @@
 from ochreway_core.signoff import Approval, verify
 
 MAX_KEEPERS = 64
+"""Bound on the nodes that keep callers' keys under one version."""
 HOMES_PER_KEY = 3
+"""How many of the keepers vote on a key."""
 MAX_BODIES = 3
+"""Bound on the recent bundles' bodies kept."""
 MAX_BODY_BYTES = 16 * 1024 * 1024
+"""Bound on a decompressed bundle."""
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Carry everything that a process needs to apply one accepted version."""
+    """Hold everything that a process needs to apply one accepted version."""
 
     roll: RollRow
     packed: bytes
@@ -32,12 +36,12 @@
 
     @property
     def body(self) -> bytes:
-        """Return the bundle's TOML, or as much of it as a bundle may have."""
+        """Return the bundle's TOML, cut off at the bound on a bundle's size."""
         return zlib.decompressobj().decompress(self.packed, MAX_BODY_BYTES)
 
 
 def make_snapshot(roll: RollRow, body: bytes, approvals: tuple[Approval, ...]) -> Snapshot:
-    """Return a snapshot that carries the body compressed."""
+    """Return a snapshot with the compressed body."""
     return Snapshot(roll, zlib.compress(body, 9), approvals)
 
 
@@ -48,7 +52,7 @@
 
 
 class View:
-    """Apply accepted versions, each verified and none lower than one seen."""
+    """Apply accepted versions, each verified and never a lower one than before."""
 
     def __init__(self, operator_keys: dict[str, Ed25519PublicKey], key_memory_s: float) -> None:
         self._operator_keys = operator_keys
@@ -61,13 +65,13 @@
 
     @property
     def version(self) -> Version:
-        """Return the version in force here, 0 before the first."""
+        """Return the version in force here, or 0 before the first."""
         return self.snapshot.roll.version if self.snapshot else NO_VERSION
 
     def apply(self, snapshot: Snapshot, now_s: float) -> Result[bool, str]:
         """Put a newer version in force; return whether anything changed.
 
-        A lower or equal version is left alone: messages may come late.
+        A lower or equal version is ignored, as messages may arrive late.
         """
         if snapshot.roll.version <= self.version:
             return Ok(False)
@@ -89,14 +93,14 @@
             self._bodies.popitem(last=False)
 
     def body_of(self, bundle: BundleHash) -> bytes | None:
-        """Return the body of a bundle that was in force here not long ago."""
+        """Return the body of a bundle that was recently in force here, or ``None``."""
         return self._bodies.get(bundle)
 
     def _check(self, snapshot: Snapshot) -> Result[Bundle, str]:
         try:
             body = snapshot.body
         except zlib.error as exc:
-            return Err(f"the body does not unpack: {exc}")
+            return Err(f"the body cannot be decompressed: {exc}")
         digest = bundle_hash(body)
         if digest != snapshot.roll.bundle:
             return Err("the body is not the one that was rolled")
@@ -120,10 +124,10 @@
         self._former.extend(_FormerKeepers(keepers, now_s) for keepers in sorted(superseded))
 
     def homes(self, key: str, now_s: float) -> list[frozenset[NodeId]]:
-        """Return each set of nodes of which a majority must grant a claim on the key.
+        """Return the sets of nodes; a claim on the key needs a majority in each.
 
-        The sets of versions that were superseded less than the key memory ago count too,
-        so a claim made under one version is seen under the next.
+        The sets of versions superseded within the key memory count too, so that a claim made
+        under one version is seen under the next.
         """
         recent = [
             item.keepers for item in self._former if now_s - item.superseded_s < self._key_memory_s
@@ -133,7 +137,7 @@
 
 
 def key_keepers(bundle: Bundle) -> tuple[NodeId, ...]:
-    """Return the nodes that remember callers' keys under a bundle."""
+    """Return the nodes that keep callers' keys under a bundle."""
     names = [NodeId(name) for name in bundle.instance_names()]
     return tuple(rank("keepers", names)[:MAX_KEEPERS])
 
