--- a/packages/ochreway-core/src/ochreway_core/gate.py
+++ b/packages/ochreway-core/src/ochreway_core/gate.py
@@ -119,7 +119,7 @@
         """Return when the first grant lapses."""
         return min(each.granted_until_s for each in self._active())
 
-    def closed_reason(self, now_s: float) -> Reason:
+    def closed_because(self, now_s: float) -> Reason:
         """Return why the gate is closed, or ``NONE`` if it is open."""
         members = self._active()
         checks = (
--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -48,7 +48,7 @@
 from ochreway_direct.noticewatch import NoticeWatch
 from ochreway_direct.platformhealth import PlatformHealth
 from ochreway_direct.ports import PlatformServices
-from ochreway_direct.relay.restingbounds import RestingBounds
+from ochreway_direct.relay.idlelimits import IdleLimits
 from ochreway_direct.sendlimits.coldtargets import ColdTargets
 from ochreway_direct.sendlimits.fleetlimit import FleetLimit
 from ochreway_direct.sendlimits.loans import Loans
@@ -97,7 +97,7 @@
         timing: DirectTiming,
         log: EventLog,
         metrics: Metrics,
-        resting: RestingBounds | None = None,
+        resting: IdleLimits | None = None,
     ) -> None:
         """Own the parts given; ``resting`` bounds idle connections to targets."""
         self.settings = settings
@@ -119,7 +119,7 @@
             HallId(settings.hall),
             self._random,
             counts_unread=settings.has(Mechanism.UNREAD_PROMPTS),
-            sampled=SAMPLED_GROUPS if settings.has(Mechanism.SAMPLED_CHOICE) else None,
+            sample_size=SAMPLED_GROUPS if settings.has(Mechanism.SAMPLED_CHOICE) else None,
             limit=self._limit,
             backoffs=backoffs,
             gate=LimitGate(limits, pool) if settings.has(Mechanism.LIMITS_KEPT) else None,
@@ -187,7 +187,7 @@
             self.lease,
             self.meter,
             self._drains,
-            lambda: self._sharing.show(),
+            lambda: self._sharing.update_fleet(),
             loans=self._loans,
             limits=self._target_limits,
         )
@@ -216,7 +216,7 @@
             self.serving,
             timing,
             self.spawn,
-            self._sharing.begin,
+            self._sharing.begin_coordinating,
             lambda: self._heartbeats.send(self._loop.time()),
             lambda: self._heartbeats.head,
             log,
@@ -240,7 +240,7 @@
             timing,
             self._backoff(timing),
             self._sharing.reads_list,
-            self._sharing.listed,
+            self._sharing.on_list_read,
             log,
             metrics,
         )
@@ -248,8 +248,8 @@
             Heartbeat: self._heartbeats.receive,
             ConfigurationRequest: self._versions.on_request,
             ConfigurationUpdate: self._on_configuration_update,
-            FleetUpdate: self._sharing.on_news,
-            FleetChange: self._sharing.on_news,
+            FleetUpdate: self._sharing.on_fleet_message,
+            FleetChange: self._sharing.on_fleet_message,
             FleetRequest: self._sharing.on_request,
             ListUpdate: self._sharing.on_list,
             Suspicion: self._on_suspicion,
@@ -278,7 +278,7 @@
     def _asked(self, now_s: float) -> dict[NodeId, float]:
         """Return what each entry in touch is asked for, in groups kept busy."""
         own = sum(self.meter.offered(now_s).values())
-        return {**self._heartbeats.elsewhere.asked_by_source(), self.me.node: own}
+        return {**self._heartbeats.remote_work.offered_by_source(), self.me.node: own}
 
     def spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         """Run a task of this process until it ends or the process stops."""
@@ -353,7 +353,7 @@
 
     def _share_retries(self) -> None:
         """Take this entry's part of the repeats that all entries may make."""
-        entries = 1 + max(len(self.peers.all()), len(self.settings.peer) - 1)
+        entries = 1 + max(len(self.peers.all_peers()), len(self.settings.peer) - 1)
         self.retry_budget.max_balance = self.settings.retries_at_once / entries
 
     # Groups.
@@ -404,7 +404,7 @@
             self.suspect(group)
 
     def _take_demand(self, now_s: float) -> None:
-        offered = self._heartbeats.elsewhere.offered()
+        offered = self._heartbeats.remote_work.offered()
         offered.update(self.meter.offered(now_s))
         self.coordination.coordinator.demand.update(offered, now_s)
 
@@ -445,11 +445,11 @@
         self._step_soon()
 
     def _on_link_up(self, peer: Peer) -> None:
-        self.peers.met(peer, self._loop.time())
+        self.peers.add_linked(peer, self._loop.time())
         self._crash_spread.met(peer)
 
     def _on_link_down(self, node: NodeId) -> None:
-        self.peers.lost_link(node, self._loop.time())
+        self.peers.on_link_lost(node, self._loop.time())
         self._lease_keeper.on_link_down(node)
 
     def _on_suspicion(self, _: Peer, suspicion: Suspicion) -> None:
--- a/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
@@ -74,11 +74,11 @@
 
 @guard("gate_freshness", ("group_complete", "one_group"), ("kill_agent", "pause_agent", "cut_off"))
 def _gate_freshness() -> contextlib.AbstractContextManager[Any]:
-    def closed_reason(gate: LeaderGate, now_s: float) -> Reason:
+    def closed_because(gate: LeaderGate, now_s: float) -> Reason:
         return Reason.DRAINING if gate.row.draining else Reason.NONE
 
     return mock.patch.multiple(
-        LeaderGate, closed_reason=closed_reason, valid_until_s=lambda gate: 1.0e12
+        LeaderGate, closed_because=closed_because, valid_until_s=lambda gate: 1.0e12
     )
 
 
@@ -136,7 +136,7 @@
     def not_run(agent: Serving, sender: Peer, message: Withdraw, record: AttemptRecord) -> None:
         agent._outbox.send(sender, Settled(message.attempt, Outcome.NOT_RUN, Reason.WITHDRAWN))
 
-    return mock.patch.dict(serving._WITHDRAWALS, {AttemptState.HANDED_OVER: not_run})
+    return mock.patch.dict(serving._WITHDRAW_HANDLERS, {AttemptState.HANDED_OVER: not_run})
 
 
 @guard(
