--- a/packages/ochreway-direct/src/ochreway_direct/entry.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entry.py
@@ -11,8 +11,8 @@
 from ochreway_core.crashnews import CrashNews
 from ochreway_core.ids import GroupId, HallId, NodeId
 from ochreway_core.peer import Peer
-from ochreway_direct.bounds.means import means_of
-from ochreway_direct.bounds.meanswatch import CHECK_S, MeansWatch
+from ochreway_direct.bounds.resourcebounds import bounds_of
+from ochreway_direct.bounds.resourcewatch import CHECK_INTERVAL_S, ResourceWatch
 from ochreway_direct.coordination import Coordination
 from ochreway_direct.coordinator import CoordinatorTuning
 from ochreway_direct.crashes.crashkeeper import CrashKeeper
@@ -52,7 +52,7 @@
 from ochreway_direct.sendlimits.coldtargets import ColdTargets
 from ochreway_direct.sendlimits.fleetlimit import FleetLimit
 from ochreway_direct.sendlimits.loans import Loans
-from ochreway_direct.sendlimits.standingshare import StandingShare
+from ochreway_direct.sendlimits.standingshare import StaticShare
 from ochreway_direct.serving import Serving
 from ochreway_direct.settings import DirectSettings
 from ochreway_direct.startsteps import StartSteps
@@ -97,7 +97,7 @@
         timing: DirectTiming,
         log: EventLog,
         metrics: Metrics,
-        resting: IdleLimits | None = None,
+        idle_limits: IdleLimits | None = None,
     ) -> None:
         """Own the parts given; ``resting`` bounds idle connections to targets."""
         self.settings = settings
@@ -109,7 +109,7 @@
         self._random = random.Random()
         self.me = Peer(NodeId(settings.name), settings.link_listen)
         self._cold = ColdTargets(log)
-        self._standing = StandingShare(self.me.node, len(settings.peer), self._loop.time())
+        self._standing = StaticShare(self.me.node, len(settings.peer), self._loop.time())
         self._limit = self._fleet_limit()
         backoffs = Backoffs()
         limits = TargetLimits()
@@ -131,8 +131,8 @@
         self.retry_budget = RetryBudget(settings.retries_per_request)
         known = KnownEntry(self.me, HallId(settings.hall), settings.strength)
         self.peers = Peers(known, timing.peer_silent_s)
-        self.means = MeansWatch(
-            *(means_of(settings), self.serving, self.peers, log, metrics, resting)
+        self.resources = ResourceWatch(
+            *(bounds_of(settings), self.serving, self.peers, log, metrics, idle_limits)
         )
         self.timer = TimerService(timing.tick_s)
         self.lag = LoopLag(timing.tick_s, log)
@@ -158,7 +158,7 @@
             _tuning(settings),
             self.spawn,
             self._step_soon,
-            self.lease.doubt,
+            self.lease.renew_at_once,
             self.lag,
             lambda group: fleet.load(group) > 0,
             self.notices,
@@ -169,7 +169,7 @@
         self._drains = DrainKeeper(
             HallDrains(settings.hall_drain_s),
             fleet,
-            self.coordination.coordinator.drain,
+            self.coordination.coordinator.set_drained_halls,
             self._halls_changed,
             log,
             metrics,
@@ -228,8 +228,8 @@
             self.health,
             timing,
             self._backoff(timing),
-            self._versions.question_s,
-            self._versions.applied,
+            self._versions.poll_wait_s,
+            self._versions.on_applied,
             self._drains.read,
             log,
             metrics,
@@ -300,7 +300,7 @@
         self.timer.every(timing.heartbeat_s, self._home_check.check)
         self.timer.every(timing.heartbeat_s, lambda _: self._share_retries())
         self.timer.every(timing.heartbeat_s, self._crash_spread.repeat)
-        self.timer.every(CHECK_S, self.means.check)
+        self.timer.every(CHECK_INTERVAL_S, self.resources.check)
         if self.settings.has(Mechanism.SILENCE_SUSPECTED):
             self.timer.every(SUSPECT_AGAIN_S, self._suspect_silent)
         self.timer.every(timing.fleet_update_s, lambda _: self._sharing.publish())
@@ -345,10 +345,10 @@
             **self.notices.gauges(),
             **self._target_limits.gauges(now_s),
             "halls_without_region": float(len(self._home_check.unknown_halls)),
-            "targets_cold": float(self._cold.number(now_s)),
-            "loans_taken": float(self._limit.loans(now_s)),
-            "loans_made": float(self._loans.lent(now_s)),
-            **self.means.gauges(),
+            "targets_cold": float(self._cold.cold_count(now_s)),
+            "loans_taken": float(self._limit.borrowed_total(now_s)),
+            "loans_made": float(self._loans.outstanding(now_s)),
+            **self.resources.gauges(),
         }
 
     def _share_retries(self) -> None:
--- a/packages/ochreway-direct/src/ochreway_direct/relay/admission.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/admission.py
@@ -99,7 +99,7 @@
 
     def _identify(self, call: Call, routes: RouteTable) -> Organisation | None:
         """Authenticate the caller; keys are trusted only while they are fresh."""
-        if call.route.public or not routes.asks_for_keys:
+        if call.route.public or not routes.requires_keys:
             return None
         if not self._serving.keys_trusted():
             raise Refused(NOT_RUN_STATUS, Reason.STALE_VERSION, self._tuning.retry_after_stale_s)
--- a/packages/ochreway-direct/src/ochreway_direct/sendlimits/loans.py
+++ b/packages/ochreway-direct/src/ochreway_direct/sendlimits/loans.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Loans as heartbeats carry them: made by the holder of the lease, taken by everyone."""
+"""Exchange of loans with heartbeats."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -11,10 +11,14 @@
 
 
 class Loans:
-    """Lend while this entry holds the lease, and borrow from whoever does.
+    """Lend while this entry holds the lease, and borrow from its holder.
 
     Args:
-        weights: returns what each entry in touch is asked for, this one too.
+        me: this entry.
+        limit: the limit that borrowed shares add to.
+        lease: the coordinator's lease.
+        weights: returns the demand at each connected entry, including this one.
+        lender: makes the loans; by default with the usual times.
     """
 
     def __init__(
@@ -30,35 +34,35 @@
         self._lease = lease
         self._weights = weights
         self._lender = lender or Lender()
-        self._taken_at = 0
+        self._lease_taken_at = 0
 
-    def beat(self, names: Iterable[NodeId], heard: bool, now_s: float) -> None:
-        """Learn who there is, and lend to this entry itself."""
-        self._limit.learn(names, heard, now_s)
+    def refresh(self, names: Iterable[NodeId], any_alive: bool, now_s: float) -> None:
+        """Update the known entries, and lend to this entry itself."""
+        self._limit.update_entries(names, any_alive, now_s)
         loan = self.lend(self._me, now_s)
         if loan is not None:
             self._limit.borrow(loan, now_s, now_s)
 
     def lend(self, node: NodeId, now_s: float) -> Loan | None:
-        """Return what an entry is lent with a heartbeat that is sent now."""
+        """Return the loan for a heartbeat that is sent to an entry now, if any."""
         if not self._lease.held:
             return None
-        if self._taken_at != self._lease.taken_at:
-            self._taken_at = self._lease.taken_at
-            self._lender.begin(now_s)
-        parts = self._limit.lendable()
-        if not parts or not self._lender.lends(self._lease.renewed_s, now_s):
+        if self._lease_taken_at != self._lease.acquired_revision:
+            self._lease_taken_at = self._lease.acquired_revision
+            self._lender.on_lease_taken(now_s)
+        amounts = self._limit.lendable()
+        if not amounts or not self._lender.may_lend(self._lease.renewed_s, now_s):
             return None
-        return self._lender.lend(node, parts, self._weights(now_s), now_s)
+        return self._lender.lend(node, amounts, self._weights(now_s), now_s)
 
     def borrow(self, loan: Loan | None, echo_s: float | None, now_s: float) -> None:
-        """Take what a heartbeat lends, if it echoes what this life of the entry sent."""
+        """Accept a heartbeat's loan, if it echoes a time of this incarnation."""
         if loan is not None and echo_s is not None:
             self._limit.borrow(loan, echo_s, now_s)
 
-    def lent(self, now_s: float) -> int:
+    def outstanding(self, now_s: float) -> int:
         """Return how much this entry has lent as holder of the lease."""
-        return sum(self._lender.lent(name, now_s) for name in self._limit.lendable())
+        return sum(self._lender.outstanding(name, now_s) for name in self._limit.lendable())
 
 
 __all__ = ["Loans"]
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/call.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/call.py
@@ -13,7 +13,7 @@
 
 
 class CallState(Enum):
-    """Say what a call waits for."""
+    """What a call is waiting for."""
 
     CLAIMING = "claiming"
     RUNNING = "running"
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """Hold the attempt that a call waits for."""
+    """The attempt in progress of a call, with the times of its last events."""
 
     attempt: AttemptId
     group: GroupId
@@ -31,21 +31,21 @@
     sent_s: float
     expected_s: float
     answer: Reassembly = field(default_factory=Reassembly)
-    heard_s: float = 0.0
+    last_received_s: float = 0.0
     lost_s: float = 0.0
-    asked_s: float = 0.0
-    credited: int = 0
+    withdraw_sent_s: float = 0.0
+    credited_bytes: int = 0
 
 
 @dataclass(slots=True)
 class Call:
-    """Hold a request, what has been tried and what it waits for."""
+    """A request in progress, with its attempts so far and what it is waiting for."""
 
     request: Request
     state: CallState
     claim: ClaimRound | None = None
     attempt: Attempt | None = None
-    tried: frozenset[GroupId] = frozenset()
+    tried_groups: frozenset[GroupId] = frozenset()
     attempts: int = 0
     may_have_run: bool = False
     fingerprint: Fingerprint = Fingerprint("")
@@ -53,12 +53,12 @@
 
     @property
     def streamed(self) -> bool:
-        """Tell whether any of the answer has been passed on."""
+        """Whether any part of the answer has been delivered to the caller."""
         return self.attempt is not None and self.attempt.answer.received > 0
 
     @property
     def tokens(self) -> int:
-        """Return the tokens that the request counts for."""
+        """The tokens that the request counts for in limits."""
         return self.request.prompt_tokens + self.request.max_tokens
 
 
--- a/tests/direct/test_relay.py
+++ b/tests/direct/test_relay.py
@@ -382,12 +382,12 @@
             writer.close()
 
         async def work(running: RunningRelay) -> None:
-            running.serving.freshness.bound_s = 60.0
+            running.serving.freshness.max_age_s = 60.0
             pending = asyncio.ensure_future(running.send_request())
             while not running.targets[0].seen:
                 await asyncio.sleep(0.01)
             # Keys become too old while the stream runs, so the call may not be sent again.
-            running.serving.freshness.bound_s = -1.0
+            running.serving.freshness.max_age_s = -1.0
             answer = await pending
             self.assertTrue(answer.broken)
             self.assertEqual(b"id: 1\ndata: e1\n\n", answer.body)
