--- a/packages/ochreway-core/src/ochreway_core/codec.py
+++ b/packages/ochreway-core/src/ochreway_core/codec.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Compact encoding of dataclasses, checked when read."""
+"""Compact CBOR encoding of dataclasses, type-checked when decoded."""
 
 import dataclasses
 from collections.abc import Callable
@@ -63,7 +63,7 @@
     """Build a dataclass from its fields in order.
 
     Raises:
-        CodecError: when their number or a type is wrong.
+        CodecError: if their number or a type is wrong.
     """
     names = _names(kind)
     if len(names) != len(values):
@@ -71,8 +71,8 @@
     try:
         read: Reader = _reader(kind)
         built: T = read(dict(zip(names, values, strict=True)))
-    except CodecError as fault:
-        raise CodecError(f"{kind.__name__}: {fault}") from None
+    except CodecError as error:
+        raise CodecError(f"{kind.__name__}: {error}") from None
     return built
 
 
@@ -82,15 +82,15 @@
 
 
 def decode(kind: type[T], content: bytes) -> T:
-    """Read a dataclass from CBOR.
+    """Decode a dataclass from CBOR.
 
     Raises:
-        CodecError: when the bytes are not CBOR or not of this type.
+        CodecError: if the bytes are not CBOR or not of this type.
     """
     try:
         values = cbor2.loads(content)
-    except (cbor2.CBORDecodeError, ValueError, EOFError) as fault:
-        raise CodecError(f"{kind.__name__}: {fault}") from None
+    except (cbor2.CBORDecodeError, ValueError, EOFError) as error:
+        raise CodecError(f"{kind.__name__}: {error}") from None
     if not isinstance(values, list):
         raise CodecError(f"{kind.__name__}: not a list of fields")
     return from_fields(kind, values)
--- a/packages/ochreway-direct/src/ochreway_direct/versions/configurationfollower.py
+++ b/packages/ochreway-direct/src/ochreway_direct/versions/configurationfollower.py
@@ -93,7 +93,7 @@
             return self._on_error(error, polled_s + wait_s)
         except PlatformError as error:
             return self._on_error(error, polled_s + wait_s)
-        self._backoff.succeeded()
+        self._backoff.reset()
         self._health.on_answer(polled_s, self._loop.time())
         self._unavailable.over(self._loop.time(), in_force=self._serving.version)
         return self._apply_reading(reading)
@@ -107,7 +107,7 @@
         self._unavailable.met(str(error), now_s, in_force=self._serving.version)
         if not isinstance(error, ConfigurationUnreadable):
             self._health.on_failure(min(now_s, due_s))
-        return self._backoff.failed()
+        return self._backoff.next_delay_s()
 
     def _apply_reading(self, reading: ConfigurationReading) -> float:
         self._on_drained_halls(reading.drained, reading.polled_s)
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/controller.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/controller.py
@@ -205,7 +205,7 @@
         self._rows_fresh = False
         self._phase = Phase.IDLE
         self._pending = None
-        self._not_before_s = now_s + self._backoff.failed()
+        self._not_before_s = now_s + self._backoff.next_delay_s()
 
     def _consider_acquiring(self, now_s: float) -> None:
         if self._may_acquire_lease(now_s):
@@ -240,7 +240,7 @@
             return
         self._pending = None
         self._phase = Phase.IDLE
-        self._backoff.succeeded()
+        self._backoff.reset()
         rows = DomainRows.from_rows(self.domain, reply.rows)
         self.observe_lease(rows.lease, now_s)
         if rows.lease is not None and rows.lease.holder == self._me:
@@ -281,7 +281,7 @@
             return
         self._pending = None
         self._phase = Phase.IDLE
-        self._backoff.succeeded()
+        self._backoff.reset()
         if reply.status is CommitStatus.CONFLICT:
             self._outbox.count("controller.conflict")
             self._rows_fresh = False
@@ -445,7 +445,7 @@
     if report.node != row.leader.node:
         # Only leaders make formations; other members receive them from their leader.
         formation = row.formation
-    return (report.epoch, formation, report.step) < row.age
+    return (report.epoch, formation, report.step) < row.order_key
 
 
 def _lease_order(lease: LeaseRow | None) -> tuple[int, int]:
