--- a/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
+++ b/packages/ochreway-direct/src/ochreway_direct/entries/heartbeats.py
@@ -175,7 +175,7 @@
         self._connect_seeds()
         if self._loans is not None:
             names = [each.node for each in self._peers.all_peers()]
-            self._loans.beat(names, bool(self._peers.alive(now_s)), now_s)
+            self._loans.refresh(names, bool(self._peers.alive(now_s)), now_s)
         if self._limits is not None:
             self._limits.tick(self._peers.ranked_nodes(), self.meshed, now_s)
         own = self._own_work(now_s)
@@ -267,9 +267,9 @@
         """Process another entry's heartbeat, and answer it if it asks for one."""
         now_s = asyncio.get_running_loop().time()
         self._peers.on_heartbeat(sender, heartbeat, now_s)
-        self._lease.note_alive(Holder(sender.node, heartbeat.incarnation))
+        self._lease.record_incarnation(Holder(sender.node, heartbeat.incarnation))
         if heartbeat.holder is not None:
-            self._lease.hear(heartbeat.holder.revision, now_s)
+            self._lease.record_revision(heartbeat.holder.revision, now_s)
         if self._accepts_coverage(heartbeat.coverage):
             covered = self._covered_entries(heartbeat)
             self.remote_work.add_report(
