--- a/packages/ochreway-core/src/ochreway_core/grant.py
+++ b/packages/ochreway-core/src/ochreway_core/grant.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A member's promise to one leader at a time."""
+"""A member's grant to one leader at a time."""
 
 from dataclasses import dataclass
 
@@ -10,8 +10,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """Say why a grant is refused and how long that may last."""
+class DeniedGrant:
+    """Hold why a grant is refused and how long that may last."""
 
     reason: Reason
     wait_s: float
@@ -20,47 +20,46 @@
 class MemberGrant:
     """Grant one epoch, and a higher one only after the former lapsed or was returned.
 
-    A process that starts has forgotten what it granted, so it grants nothing for one time
-    to live.
+    A restarted process does not know what it granted before, so it grants nothing for one TTL.
     """
 
     def __init__(self, ttl_s: float, now_s: float) -> None:
         self._ttl_s = ttl_s
-        self._quiet_until_s = now_s + ttl_s
+        self._startup_until_s = now_s + ttl_s
         self._until_s = 0.0
         self.epoch = NO_EPOCH
-        self.highest = NO_EPOCH
-
-    def learn(self, epoch: Epoch) -> None:
-        """Renew nothing below this epoch from now on."""
-        self.highest = max(self.highest, epoch)
-
-    def request(self, epoch: Epoch, now_s: float) -> Result[None, Held]:
-        """Grant the epoch or say why not."""
-        self.learn(epoch)
-        if epoch < self.highest:
-            return Err(Held(Reason.STALE_EPOCH, 0.0))
-        if not self.may_move(epoch, now_s):
-            wait_s = max(self._quiet_until_s, self._until_s) - now_s
-            return Err(Held(Reason.GROUP_INCOMPLETE, wait_s))
+        self.highest_epoch = NO_EPOCH
+
+    def observe_epoch(self, epoch: Epoch) -> None:
+        """Record an epoch; grants of lower ones are no longer renewed."""
+        self.highest_epoch = max(self.highest_epoch, epoch)
+
+    def request(self, epoch: Epoch, now_s: float) -> Result[None, DeniedGrant]:
+        """Grant or renew an epoch, or return why not."""
+        self.observe_epoch(epoch)
+        if epoch < self.highest_epoch:
+            return Err(DeniedGrant(Reason.STALE_EPOCH, 0.0))
+        if not self.can_grant(epoch, now_s):
+            wait_s = max(self._startup_until_s, self._until_s) - now_s
+            return Err(DeniedGrant(Reason.GROUP_INCOMPLETE, wait_s))
         self.epoch = epoch
         self._until_s = now_s + self._ttl_s
         return Ok(None)
 
-    def may_move(self, epoch: Epoch, now_s: float) -> bool:
-        """Tell whether nothing granted before stands in the way of the epoch."""
-        if now_s < self._quiet_until_s:
+    def can_grant(self, epoch: Epoch, now_s: float) -> bool:
+        """Return whether no earlier grant prevents granting the epoch."""
+        if now_s < self._startup_until_s:
             return False
         return epoch == self.epoch or now_s >= self._until_s
 
-    def fresh(self, epoch: Epoch, now_s: float) -> bool:
-        """Tell whether the epoch's grant stands."""
+    def is_fresh(self, epoch: Epoch, now_s: float) -> bool:
+        """Return whether the epoch's grant is valid now."""
         return epoch == self.epoch and now_s < self._until_s
 
-    def returned(self, epoch: Epoch) -> None:
-        """Forget a grant that its leader gave back."""
+    def end_grant(self, epoch: Epoch) -> None:
+        """End a grant that its leader returned."""
         if epoch == self.epoch:
             self._until_s = 0.0
 
 
-__all__ = ["Held", "MemberGrant"]
+__all__ = ["DeniedGrant", "MemberGrant"]
--- a/packages/ochreway-core/src/ochreway_core/rows.py
+++ b/packages/ochreway-core/src/ochreway_core/rows.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The rows that the system keeps in the platform's table, and their keys."""
+"""Rows that the system stores in the platform's table, and their keys."""
 
 from dataclasses import dataclass
 
@@ -19,13 +19,13 @@
 from ochreway_core.peer import Peer
 from ochreway_core.targetkind import TargetKind
 
-FORMATIONS_AT_MOST = 1000
-"""How many formations an epoch may have, as their number is part of the fence."""
+MAX_FORMATIONS = 1000
+"""Bound on the formations of an epoch, as the formation number is part of the fence."""
 
 
 def fence_of(epoch: Epoch) -> Epoch:
-    """Return the fence of an epoch's first formation."""
-    return Epoch(epoch * FORMATIONS_AT_MOST)
+    """Return the fencing token of an epoch's first formation."""
+    return Epoch(epoch * MAX_FORMATIONS)
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,8 +42,8 @@
 class GroupRow:
     """Hold one serving group; its first member leads.
 
-    Standbys belong to the group too. Its leader may put one in a lost member's place without
-    the table, which makes another formation of the same epoch.
+    Standbys belong to the group too. Its leader may replace a lost member by a standby without
+    writing to the table, which makes another formation of the same epoch.
     """
 
     group: GroupId
@@ -62,22 +62,22 @@
     formation: int = 0
 
     @property
-    def age(self) -> tuple[int, int, int]:
-        """Return what orders the rows of a group."""
+    def order_key(self) -> tuple[int, int, int]:
+        """Return the key that orders the rows of a group by age."""
         return self.epoch, self.formation, self.step
 
     @property
     def fence(self) -> Epoch:
-        """Return what fences orders to the group's targets."""
+        """Return the fencing token of orders to the group's targets."""
         return Epoch(fence_of(self.epoch) + self.formation)
 
     @property
-    def everyone(self) -> tuple[Peer, ...]:
+    def all_peers(self) -> tuple[Peer, ...]:
         """Return the members and the standbys."""
         return self.members + self.standbys
 
-    def serves_on(self, node: NodeId) -> bool:
-        """Tell whether the node is a member, not a standby."""
+    def has_member(self, node: NodeId) -> bool:
+        """Return whether the node is a member, not a standby."""
         return any(peer.node == node for peer in self.members)
 
     @property
@@ -85,14 +85,14 @@
         """Return the member that admits the group's work."""
         return self.members[0]
 
-    def names(self, node: NodeId) -> bool:
-        """Tell whether the node is a member or a standby."""
-        return any(peer.node == node for peer in self.everyone)
+    def includes(self, node: NodeId) -> bool:
+        """Return whether the node is a member or a standby."""
+        return any(peer.node == node for peer in self.all_peers)
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceRow:
-    """Hold the one group that an instance belongs to."""
+    """Hold the single group that an instance belongs to."""
 
     node: NodeId
     group: GroupId
@@ -111,9 +111,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RollRow:
-    """Record one accepted version for good.
+    """Record one accepted version permanently.
 
-    ``former`` holds the key keepers of versions that were superseded a short while before.
+    ``former`` holds the key keepers of recently superseded versions.
     """
 
     scope: ScopeId
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HallsRow:
-    """Hold a scope's drained halls and the change that made it so."""
+    """Hold a scope's drained halls and the change that set them."""
 
     scope: ScopeId
     drained: DrainedHalls
@@ -168,7 +168,7 @@
 
 
 def roll_key(scope: str, version: int) -> str:
-    """Return the key of one version's record."""
+    """Return the key of a version's roll row."""
     return f"roll/{scope}/{version:010d}"
 
 
@@ -178,7 +178,7 @@
 
 
 def halls_change_key(scope: str, version: int) -> str:
-    """Return the key of the record of one change to the drained halls."""
+    """Return the key of the row that records one change to the drained halls."""
     return f"halls-change/{scope}/{version:010d}"
 
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/controller/planner.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/controller/planner.py
@@ -49,7 +49,7 @@
         if reformed is None or (reformed.group, reformed.epoch) != (row.group, row.epoch):
             continue
         # A standby that was released in the meantime may belong to another group by now.
-        kept = all(situation.rows.group_of(peer.node) == row.group for peer in reformed.everyone)
+        kept = all(situation.rows.group_of(peer.node) == row.group for peer in reformed.all_peers)
         if kept and reformed.formation > row.formation:
             return RecordFormation(row.group, reformed)
     return None
@@ -71,7 +71,7 @@
 
 def _matches_spec(row: GroupRow, spec: Group) -> bool:
     allowed = set(spec.instances)
-    all_allowed = all(peer.node in allowed for peer in row.everyone)
+    all_allowed = all(peer.node in allowed for peer in row.all_peers)
     return (
         row.target == spec.target and len(row.members) == spec.instances_per_replica and all_allowed
     )
@@ -278,7 +278,7 @@
 
 def _reform(situation: Situation, row: GroupRow, spec: Group) -> GroupChange:
     size = spec.instances_per_replica
-    section_members = [peer for peer in row.everyone if peer.node in spec.instances]
+    section_members = [peer for peer in row.all_peers if peer.node in spec.instances]
     staying = [peer for peer in section_members if not situation.in_drained_hall(peer.node)]
     candidates = staying + situation.free_instances(spec)
     if len(candidates) < size:
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/calls.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/calls.py
@@ -135,7 +135,7 @@
         if call is None or call.claim is None or call.state is not CallState.CLAIMING:
             return
         if reply.vote is not Vote.STALE:
-            call.claim.voted(sender.node, reply.vote, reply.outcome)
+            call.claim.record_vote(sender.node, reply.vote, reply.outcome)
             self._check_claim(call, now_s)
 
     def _check_claim(self, call: Call, now_s: float) -> None:
@@ -231,7 +231,7 @@
         attempt.last_received_s = now_s
         for new_frame in attempt.answer.add(frame):
             self._deliver(call, attempt, new_frame, now_s)
-        if attempt.answer.whole:
+        if attempt.answer.is_complete:
             self._answered(call, attempt, now_s)
 
     def _deliver(self, call: Call, attempt: Attempt, frame: Frame, now_s: float) -> None:
@@ -369,7 +369,7 @@
 
     def _tick_claiming(self, call: Call, now_s: float) -> None:
         if call.claim is not None and now_s >= call.claim.give_up_s:
-            self._fail_claim(call, claim_failure_reason(call.claim, call.claim.state_at_last()))
+            self._fail_claim(call, claim_failure_reason(call.claim, call.claim.final_state()))
 
     def _tick_running(self, call: Call, now_s: float) -> None:
         """Treat a leader that has been silent for too long as if its link were lost."""
