--- a/packages/ochreway-platform/src/ochreway_platform/answernotice.py
+++ b/packages/ochreway-platform/src/ochreway_platform/answernotice.py
@@ -9,21 +9,21 @@
 from ochreway_core.targetnotice import NO_NOTICE, TargetNotice
 
 RETRY_AFTER = "Retry-After"
-TURNED_AWAY = frozenset({429, 503})
+REJECTION_STATUSES = frozenset({429, 503})
 """The statuses with which a server may say when to come back; elsewhere the header means a file."""
-UNREADABLE_S = 1.0
+UNREADABLE_BACKOFF_S = 1.0
 """How long a target is left alone that names a time which cannot be read.
 
 It asked to be left alone; not at all would go against that, and for long would cost callers a
 target for a mistake in a header.
 """
-BACKOFF_AT_MOST_S = 3600.0
+MAX_BACKOFF_S = 3600.0
 """The longest time that a target may ask for.
 
 More is a mistake, such as ms for seconds, and would take it out for good.
 """
-_NOT_LEAVING = frozenset({"", "0"})
-_DECIMAL = re.compile(r"[0-9]+(\.[0-9]*)?|\.[0-9]+")
+_NOT_LEAVING_VALUES = frozenset({"", "0"})
+_DECIMAL_NUMBER = re.compile(r"[0-9]+(\.[0-9]*)?|\.[0-9]+")
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
     limit: str
 
 
-def answer_notice(status: int, headers: Mapping[str, str], names: NoticeHeaders) -> TargetNotice:
+def parse_notice(status: int, headers: Mapping[str, str], names: NoticeHeaders) -> TargetNotice:
     """Return what a target says of itself.
 
     Args:
@@ -42,41 +42,43 @@
         headers: the answer's headers.
         names: the names of the headers that such targets use.
     """
-    asked = headers.get(RETRY_AFTER) if status in TURNED_AWAY else None
-    leaving = headers.get(names.leaving, "").strip() not in _NOT_LEAVING
-    limit_per_s = _limit_per_s(headers.get(names.limit))
-    if asked is None and not leaving and limit_per_s is None:
+    retry_after = headers.get(RETRY_AFTER) if status in REJECTION_STATUSES else None
+    leaving = headers.get(names.leaving, "").strip() not in _NOT_LEAVING_VALUES
+    limit_per_s = _parse_limit_per_s(headers.get(names.limit))
+    if retry_after is None and not leaving and limit_per_s is None:
         return NO_NOTICE
-    return TargetNotice(_seconds(asked) if asked is not None else None, leaving, limit_per_s)
+    return TargetNotice(
+        _parse_retry_after(retry_after) if retry_after is not None else None, leaving, limit_per_s
+    )
 
 
-def _seconds(asked: str) -> float:
+def _parse_retry_after(header_value: str) -> float:
     try:
-        found_s = float(asked)
+        backoff_s = float(header_value)
     except ValueError:
-        return UNREADABLE_S
-    if math.isnan(found_s) or found_s < 0.0:
-        return UNREADABLE_S
-    return min(found_s, BACKOFF_AT_MOST_S)
+        return UNREADABLE_BACKOFF_S
+    if math.isnan(backoff_s) or backoff_s < 0.0:
+        return UNREADABLE_BACKOFF_S
+    return min(backoff_s, MAX_BACKOFF_S)
 
 
-def _limit_per_s(named: str | None) -> float | None:
+def _parse_limit_per_s(limit_header: str | None) -> float | None:
     """Return the limit that a header names; anything but a number above 0 names none.
 
     By a limit of 0 nobody would send, so nobody could hear that it is over; a target that wants
     nothing asks to be left alone for a time.
     """
-    if named is None or not _DECIMAL.fullmatch(named.strip()):
+    if limit_header is None or not _DECIMAL_NUMBER.fullmatch(limit_header.strip()):
         return None
-    limit_per_s = float(named)
+    limit_per_s = float(limit_header)
     return limit_per_s if 0.0 < limit_per_s < math.inf else None
 
 
 __all__ = [
-    "BACKOFF_AT_MOST_S",
+    "MAX_BACKOFF_S",
     "RETRY_AFTER",
-    "TURNED_AWAY",
-    "UNREADABLE_S",
+    "REJECTION_STATUSES",
+    "UNREADABLE_BACKOFF_S",
     "NoticeHeaders",
-    "answer_notice",
+    "parse_notice",
 ]
--- a/packages/ochreway-platform/src/ochreway_platform/calls.py
+++ b/packages/ochreway-platform/src/ochreway_platform/calls.py
@@ -21,8 +21,8 @@
             if response.status != 200:
                 raise PlatformError(f"status {response.status}")
             return await response.read()
-    except (TimeoutError, aiohttp.ClientError, OSError) as fault:
-        raise PlatformError(str(fault) or type(fault).__name__) from fault
+    except (TimeoutError, aiohttp.ClientError, OSError) as error:
+        raise PlatformError(str(error) or type(error).__name__) from error
 
 
 __all__ = ["CONTENT_TYPE", "post"]
--- a/packages/ochreway-platform/src/ochreway_platform/httpobjectstore.py
+++ b/packages/ochreway-platform/src/ochreway_platform/httpobjectstore.py
@@ -23,8 +23,8 @@
                     raise ObjectMissing(name)
                 response.raise_for_status()
                 return await response.read()
-        except (TimeoutError, aiohttp.ClientError, OSError) as fault:
-            raise ObjectStoreUnavailable(str(fault)) from fault
+        except (TimeoutError, aiohttp.ClientError, OSError) as error:
+            raise ObjectStoreUnavailable(str(error)) from error
 
     async def put(self, name: str, content: bytes) -> None:
         """Keep an object."""
@@ -33,8 +33,8 @@
                 self._url(name), data=content, timeout=self._timeout
             ) as response:
                 response.raise_for_status()
-        except (TimeoutError, aiohttp.ClientError, OSError) as fault:
-            raise ObjectStoreUnavailable(str(fault)) from fault
+        except (TimeoutError, aiohttp.ClientError, OSError) as error:
+            raise ObjectStoreUnavailable(str(error)) from error
 
     def _url(self, name: str) -> str:
         return f"{self._base_url}/objects/{name}"
--- a/packages/ochreway-platform/src/ochreway_platform/httptable.py
+++ b/packages/ochreway-platform/src/ochreway_platform/httptable.py
@@ -28,8 +28,8 @@
         try:
             body = await post(self._session, url, encode(ReadCall(prefixes)), self._timeout_s)
             return decode(ReadAnswer, body).rows
-        except (PlatformError, CodecError) as fault:
-            raise TableUnavailable(str(fault)) from fault
+        except (PlatformError, CodecError) as error:
+            raise TableUnavailable(str(error)) from error
 
     async def commit(self, transaction: Transaction) -> CommitReply:
         """Commit a transaction; any failure leaves its fate unknown."""
--- a/packages/ochreway-platform/src/ochreway_platform/httptarget.py
+++ b/packages/ochreway-platform/src/ochreway_platform/httptarget.py
@@ -12,22 +12,22 @@
 from ochreway_core.targetkind import TargetKind
 from ochreway_core.targetnotice import TargetNotice
 from ochreway_core.targetorder import TargetOrder
-from ochreway_platform.answernotice import TURNED_AWAY, NoticeHeaders, answer_notice
+from ochreway_platform.answernotice import REJECTION_STATUSES, NoticeHeaders, parse_notice
 from ochreway_platform.errors import (
     HandOverRefused,
     TargetBroke,
     TargetTurnedAway,
     TargetUnreachable,
 )
-from ochreway_platform.target import Target, TargetReport, Told
+from ochreway_platform.target import NoticeHandler, Target, TargetReport
 from ochreway_platform.targetcheck import TargetCheck
 
 STATE_TIMEOUT_S = 1.0
-NOT_RUN = "Not-Run"
+NOT_RUN_HEADER = "Not-Run"
 """The header in which a target says that it did not begin what it turned away."""
-NOTICES = NoticeHeaders(leaving="Leaving", limit="Request-Limit")
+NOTICE_HEADERS = NoticeHeaders(leaving="Leaving", limit="Request-Limit")
 """The headers in which a target says that it ends soon, and how many requests a second it takes."""
-EVENT_STREAM = "text/event-stream"
+EVENT_STREAM_TYPE = "text/event-stream"
 STREAM_END = b"data: [DONE]\n\n"
 EVENT_END = b"\n\n"
 
@@ -38,24 +38,26 @@
     def __init__(self, session: aiohttp.ClientSession, base_url: str, kind: TargetKind) -> None:
         self._session = session
         self._base_url = base_url.rstrip("/")
-        self._address = address_of(base_url)
+        self._address = host_and_port(base_url)
         self._check = TargetCheck()
         self._kind = kind
         self._timeout = aiohttp.ClientTimeout(total=STATE_TIMEOUT_S)
-        self._told: Told = lambda notice, to_request: None
+        self._on_notice: NoticeHandler = lambda notice, to_request: None
 
-    def listen(self, told: Told) -> None:
+    def listen(self, on_notice: NoticeHandler) -> None:
         """Have a part told of the notices in all answers from now on."""
-        self._told = told
+        self._on_notice = on_notice
 
-    def _notice(self, response: aiohttp.ClientResponse, to_request: bool = False) -> TargetNotice:
-        notice = answer_notice(response.status, response.headers, NOTICES)
-        self._told(notice, to_request)
+    def _report_notice(
+        self, response: aiohttp.ClientResponse, to_request: bool = False
+    ) -> TargetNotice:
+        notice = parse_notice(response.status, response.headers, NOTICE_HEADERS)
+        self._on_notice(notice, to_request)
         return notice
 
-    def _check_taken(self, response: aiohttp.ClientResponse) -> TargetNotice:
+    def _raise_if_turned_away(self, response: aiohttp.ClientResponse) -> TargetNotice:
         """Raise if the target turned a question or an order away and named a time."""
-        notice = self._notice(response)
+        notice = self._report_notice(response)
         if notice.backoff_s is not None:
             raise TargetTurnedAway(notice)
         return notice
@@ -65,7 +67,7 @@
         path = "/state" if self._kind is TargetKind.MODEL else "/health"
         try:
             async with self._session.get(self._base_url + path, timeout=self._timeout) as response:
-                notice = self._check_taken(response)
+                notice = self._raise_if_turned_away(response)
                 response.raise_for_status()
                 if self._kind is TargetKind.SERVICE:
                     return TargetReport(Epoch(0), "", True, leaving=notice.leaving)
@@ -78,8 +80,8 @@
                     tuple(state.get("evicted", ())),
                     notice.leaving,
                 )
-        except (TimeoutError, aiohttp.ClientError, OSError, KeyError) as fault:
-            raise TargetUnreachable(str(fault)) from fault
+        except (TimeoutError, aiohttp.ClientError, OSError, KeyError) as error:
+            raise TargetUnreachable(str(error)) from error
 
     async def order(self, order: TargetOrder) -> None:
         """Make the target load what the order says."""
@@ -92,10 +94,10 @@
         url = f"{self._base_url}/order"
         try:
             async with self._session.post(url, json=content, timeout=self._timeout) as response:
-                self._check_taken(response)
+                self._raise_if_turned_away(response)
                 response.raise_for_status()
-        except (TimeoutError, aiohttp.ClientError, OSError) as fault:
-            raise TargetUnreachable(str(fault)) from fault
+        except (TimeoutError, aiohttp.ClientError, OSError) as error:
+            raise TargetUnreachable(str(error)) from error
 
     async def ended(self) -> bool:
         """Tell whether nobody listens at the target's address any more."""
@@ -103,30 +105,30 @@
 
     async def run(self, submit: Submit, allowed: Callable[[], bool]) -> AsyncIterator[Chunk]:
         """Yield the answer's pieces."""
-        body = _GuardedBody(submit.body, allowed)
+        body = _GatedBody(submit.body, allowed)
         timeout = aiohttp.ClientTimeout(total=submit.expires_in_s, connect=STATE_TIMEOUT_S)
         try:
             async with self._session.request(
                 submit.method,
                 self._base_url + submit.path,
-                data=body.pieces(),
+                data=body.chunks(),
                 headers=_headers(submit),
                 timeout=timeout,
             ) as response:
-                notice = self._notice(response, to_request=True)
-                if response.status in TURNED_AWAY and NOT_RUN in response.headers:
+                notice = self._report_notice(response, to_request=True)
+                if response.status in REJECTION_STATUSES and NOT_RUN_HEADER in response.headers:
                     raise TargetTurnedAway(notice)
-                async for chunk in _chunks(response):
+                async for chunk in _read_chunks(response):
                     yield chunk
-        except aiohttp.ClientConnectorError as fault:
-            raise TargetUnreachable(str(fault)) from fault
-        except (TimeoutError, aiohttp.ClientError, OSError, HandOverRefused) as fault:
+        except aiohttp.ClientConnectorError as error:
+            raise TargetUnreachable(str(error)) from error
+        except (TimeoutError, aiohttp.ClientError, OSError, HandOverRefused) as error:
             if body.refused:
-                raise HandOverRefused("the gate closed before the hand-over") from fault
-            raise TargetBroke(str(fault) or type(fault).__name__) from fault
+                raise HandOverRefused("the gate closed before the hand-over") from error
+            raise TargetBroke(str(error) or type(error).__name__) from error
 
 
-def address_of(base_url: str) -> str:
+def host_and_port(base_url: str) -> str:
     """Return the host and port that a base address names."""
     url = URL(base_url)
     return f"{url.host}:{url.port}"
@@ -140,7 +142,7 @@
     }
 
 
-class _GuardedBody:
+class _GatedBody:
     """Give out the body only if that is still allowed when the socket takes it."""
 
     def __init__(self, body: bytes, allowed: Callable[[], bool]) -> None:
@@ -148,7 +150,7 @@
         self._allowed = allowed
         self.refused = False
 
-    async def pieces(self) -> AsyncIterator[bytes]:
+    async def chunks(self) -> AsyncIterator[bytes]:
         """Yield the body, or break the connection off."""
         if not self._allowed():
             self.refused = True
@@ -156,23 +158,23 @@
         yield self._body
 
 
-async def _chunks(response: aiohttp.ClientResponse) -> AsyncIterator[Chunk]:
+async def _read_chunks(response: aiohttp.ClientResponse) -> AsyncIterator[Chunk]:
     status, content_type = response.status, response.content_type
-    streamed = content_type == EVENT_STREAM
-    tail = b""
+    streamed = content_type == EVENT_STREAM_TYPE
+    last_bytes = b""
     received = 0
     async for piece in response.content.iter_any():
-        tail = (tail + piece)[-len(STREAM_END) :]
+        last_bytes = (last_bytes + piece)[-len(STREAM_END) :]
         received += len(piece)
         tokens = piece.count(EVENT_END) if streamed else 0
         # An answer known to be whole need not wait for the connection to say so.
-        whole = tail == STREAM_END if streamed else received == response.content_length
-        yield Chunk(piece, tokens, status, content_type, last=whole)
-        if whole:
+        complete = last_bytes == STREAM_END if streamed else received == response.content_length
+        yield Chunk(piece, tokens, status, content_type, last=complete)
+        if complete:
             return
     if streamed:
         raise TargetBroke("the stream ended without its end marker")
     yield Chunk(b"", 0, status, content_type, last=True)
 
 
-__all__ = ["EVENT_STREAM", "STREAM_END", "HttpTarget"]
+__all__ = ["EVENT_STREAM_TYPE", "STREAM_END", "HttpTarget"]
--- a/packages/ochreway-platform/src/ochreway_platform/instancelist.py
+++ b/packages/ochreway-platform/src/ochreway_platform/instancelist.py
@@ -41,29 +41,29 @@
         self._session = session
         self._url = f"{base_url.rstrip('/')}/instances"
         self._timeout = aiohttp.ClientTimeout(total=timeout_s)
-        self._tag = ""
-        self._last: list[ListedInstance] = []
+        self._etag = ""
+        self._last_list: list[ListedInstance] = []
 
     async def read(self) -> list[ListedInstance]:
         """Return the instances listed; an unchanged list is not sent again."""
-        headers = {"If-None-Match": self._tag} if self._tag else {}
+        headers = {"If-None-Match": self._etag} if self._etag else {}
         try:
             async with self._session.get(
                 self._url, headers=headers, timeout=self._timeout
             ) as response:
                 if response.status == 304:
-                    return self._last
+                    return self._last_list
                 response.raise_for_status()
-                self._last = [from_json(item) for item in await response.json()]
-                self._tag = response.headers.get("ETag", "")
-                return self._last
-        except (TimeoutError, aiohttp.ClientError, OSError) as fault:
-            raise ListUnavailable(str(fault)) from fault
-        except (KeyError, TypeError, ValueError) as fault:
-            raise ListUnavailable(f"unexpected content: {fault}") from fault
+                self._last_list = [instance_from_json(item) for item in await response.json()]
+                self._etag = response.headers.get("ETag", "")
+                return self._last_list
+        except (TimeoutError, aiohttp.ClientError, OSError) as error:
+            raise ListUnavailable(str(error)) from error
+        except (KeyError, TypeError, ValueError) as error:
+            raise ListUnavailable(f"unexpected content: {error}") from error
 
 
-def from_json(item: dict[str, Any]) -> ListedInstance:
+def instance_from_json(item: dict[str, Any]) -> ListedInstance:
     """Read one instance from the list's JSON."""
     return ListedInstance(
         node=NodeId(item["name"]),
@@ -75,7 +75,7 @@
     )
 
 
-def to_json(instance: ListedInstance) -> dict[str, str]:
+def instance_to_json(instance: ListedInstance) -> dict[str, str]:
     """Write one instance as the list's JSON."""
     return {
         "name": instance.node,
@@ -87,4 +87,10 @@
     }
 
 
-__all__ = ["HttpInstanceList", "InstanceList", "MemoryInstanceList", "from_json", "to_json"]
+__all__ = [
+    "HttpInstanceList",
+    "InstanceList",
+    "MemoryInstanceList",
+    "instance_from_json",
+    "instance_to_json",
+]
--- a/packages/ochreway-platform/src/ochreway_platform/target.py
+++ b/packages/ochreway-platform/src/ochreway_platform/target.py
@@ -24,7 +24,7 @@
     leaving: bool = False
 
 
-Told = Callable[[TargetNotice, bool], None]
+NoticeHandler = Callable[[TargetNotice, bool], None]
 """Told what the head of each answer says of the target, and whether it answers a request."""
 
 
@@ -32,7 +32,7 @@
     """Ask a target for its state, order it, and have it run requests."""
 
     @abstractmethod
-    def listen(self, told: Told) -> None:
+    def listen(self, on_notice: NoticeHandler) -> None:
         """Have a part told of the notices in all answers from now on."""
 
     @abstractmethod
@@ -73,4 +73,4 @@
         """
 
 
-__all__ = ["Target", "TargetReport", "Told"]
+__all__ = ["Target", "TargetReport", "NoticeHandler"]
--- a/packages/ochreway-platform/src/ochreway_platform/targetcheck.py
+++ b/packages/ochreway-platform/src/ochreway_platform/targetcheck.py
@@ -4,9 +4,9 @@
 import asyncio
 import contextlib
 
-CHECK_S = 0.25
+CHECK_TIMEOUT_S = 0.25
 """How long an answer is waited for; a process that has ended refuses within a round trip."""
-VALID_S = 0.5
+RESULT_MAX_AGE_S = 0.5
 """For how long a result stands in for a further check of the same address."""
 
 
@@ -19,36 +19,36 @@
     """
 
     def __init__(self) -> None:
-        self._under_way: dict[str, asyncio.Task[bool]] = {}
+        self._pending_checks: dict[str, asyncio.Task[bool]] = {}
         self._results: dict[str, tuple[float, bool]] = {}
 
     async def ended(self, address: str) -> bool:
         """Tell whether the process that listened at an address has ended."""
         now_s = asyncio.get_running_loop().time()
-        known = self._results.get(address)
-        if known is not None and now_s - known[0] < VALID_S:
-            return known[1]
-        task = self._under_way.get(address)
+        cached_result = self._results.get(address)
+        if cached_result is not None and now_s - cached_result[0] < RESULT_MAX_AGE_S:
+            return cached_result[1]
+        task = self._pending_checks.get(address)
         if task is None:
-            task = self._under_way[address] = asyncio.create_task(self._check(address))
+            task = self._pending_checks[address] = asyncio.create_task(self._check(address))
         # Whoever gives up does not end the check of the others.
         return await asyncio.shield(task)
 
     async def _check(self, address: str) -> bool:
         try:
-            ended = await _refused(address)
+            ended = await _is_refused(address)
         finally:
-            del self._under_way[address]
+            del self._pending_checks[address]
         now_s = asyncio.get_running_loop().time()
-        self._results = {a: r for a, r in self._results.items() if now_s - r[0] < VALID_S}
+        self._results = {a: r for a, r in self._results.items() if now_s - r[0] < RESULT_MAX_AGE_S}
         self._results[address] = now_s, ended
         return ended
 
 
-async def _refused(address: str) -> bool:
+async def _is_refused(address: str) -> bool:
     host, _, port = address.rpartition(":")
     try:
-        async with asyncio.timeout(CHECK_S):
+        async with asyncio.timeout(CHECK_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except ConnectionRefusedError:
         return True
@@ -61,4 +61,4 @@
     return False
 
 
-__all__ = ["CHECK_S", "TargetCheck"]
+__all__ = ["CHECK_TIMEOUT_S", "TargetCheck"]
--- a/packages/ochreway-standins/src/ochreway_standins/platformserver.py
+++ b/packages/ochreway-standins/src/ochreway_standins/platformserver.py
@@ -9,7 +9,7 @@
 from ochreway_core.codec import decode, encode
 from ochreway_core.ids import NodeId
 from ochreway_core.table import Transaction
-from ochreway_platform.instancelist import MemoryInstanceList, from_json, to_json
+from ochreway_platform.instancelist import MemoryInstanceList, instance_from_json, instance_to_json
 from ochreway_platform.memoryobjectstore import MemoryObjectStore
 from ochreway_platform.memorytable import MemoryTable
 from ochreway_platform.tablecodec import ReadAnswer, ReadCall
@@ -79,11 +79,11 @@
         tag = f'"{self.list_version}"'
         if request.headers.get("If-None-Match") == tag:
             return web.Response(status=304)
-        listed = [to_json(each) for each in await self.instances.read()]
+        listed = [instance_to_json(each) for each in await self.instances.read()]
         return web.json_response(listed, headers={"ETag": tag})
 
     async def _set_list(self, request: web.Request) -> web.Response:
-        listed = [from_json(item) for item in await request.json()]
+        listed = [instance_from_json(item) for item in await request.json()]
         self.list_version += 1
         self.instances.instances = {NodeId(each.node): each for each in listed}
         return web.Response()
--- a/packages/ochreway-standins/src/ochreway_standins/slopes/backoffs.py
+++ b/packages/ochreway-standins/src/ochreway_standins/slopes/backoffs.py
@@ -5,8 +5,8 @@
 import tracemalloc
 
 from ochreway_core.targetnotice import TargetNotice
-from ochreway_platform.answernotice import answer_notice
-from ochreway_platform.httptarget import NOTICES
+from ochreway_platform.answernotice import parse_notice
+from ochreway_platform.httptarget import NOTICE_HEADERS
 from ochreway_routing.backoffs import MAX_TARGETS, Backoffs
 from ochreway_standins.slopes.crashes import each_us
 
@@ -44,7 +44,7 @@
     took_us = each_us(lambda: backoffs.record_notice(known, away, NOW_S, 1))
     pushed_us = each_us(lambda: backoffs.record_notice(named(next(numbers)), away, NOW_S))
     print(f"slope=backoff_word again_us={took_us:.2f} new_when_full_us={pushed_us:.2f}")
-    head_us = each_us(lambda: answer_notice(200, PLAIN_HEAD, NOTICES))
+    head_us = each_us(lambda: parse_notice(200, PLAIN_HEAD, NOTICE_HEADERS))
     print(f"slope=backoff_head us={head_us:.2f}", flush=True)
 
 
--- a/tests/direct/plaindialect.py
+++ b/tests/direct/plaindialect.py
@@ -7,8 +7,8 @@
 
 from ochreway_direct.ids import ModelName
 from ochreway_direct.ports import AnswerHead, CallerDialect, CallerTerms, ForwardTerms
-from ochreway_platform.answernotice import answer_notice
-from ochreway_platform.httptarget import NOTICES
+from ochreway_platform.answernotice import parse_notice
+from ochreway_platform.httptarget import NOTICE_HEADERS
 
 
 class PlainDialect(CallerDialect):
@@ -40,7 +40,7 @@
             "Signed" in headers,
             "Not-Run" in headers,
             "Content-Encoding" in headers,
-            answer_notice(status, headers, NOTICES),
+            parse_notice(status, headers, NOTICE_HEADERS),
         )
 
     def answer(self, headers: Mapping[str, str]) -> CIMultiDict[str]:
