--- a/packages/ochreway-platform/src/ochreway_platform/__init__.py
+++ b/packages/ochreway-platform/src/ochreway_platform/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Ports to the platform, the engines and the plain services."""
+"""Ports to the platform, to model engines and to plain services."""
--- a/packages/ochreway-platform/src/ochreway_platform/answernotice.py
+++ b/packages/ochreway-platform/src/ochreway_platform/answernotice.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Reading what a target says of itself from the status and the headers of its answer."""
+"""Parsing of the notice about a target in the status and headers of its answer."""
 
 import math
 import re
@@ -10,17 +10,17 @@
 
 RETRY_AFTER = "Retry-After"
 REJECTION_STATUSES = frozenset({429, 503})
-"""The statuses with which a server may say when to come back; elsewhere the header means a file."""
+"""Statuses with which Retry-After requests a backoff; with others it concerns the resource."""
 UNREADABLE_BACKOFF_S = 1.0
-"""How long a target is left alone that names a time which cannot be read.
+"""Backoff of a target whose Retry-After cannot be parsed.
 
-It asked to be left alone; not at all would go against that, and for long would cost callers a
-target for a mistake in a header.
+It did request a backoff, so none at all would ignore that; a long one would deprive callers of a
+target because of a malformed header.
 """
 MAX_BACKOFF_S = 3600.0
-"""The longest time that a target may ask for.
+"""Bounds the backoff that a target may request.
 
-More is a mistake, such as ms for seconds, and would take it out for good.
+A longer one is a mistake, such as ms for seconds, and would remove the target for good.
 """
 _NOT_LEAVING_VALUES = frozenset({"", "0"})
 _DECIMAL_NUMBER = re.compile(r"[0-9]+(\.[0-9]*)?|\.[0-9]+")
@@ -28,19 +28,19 @@
 
 @dataclass(frozen=True, slots=True)
 class NoticeHeaders:
-    """Name the headers in which a kind of target says that it leaves, and names a limit."""
+    """Names of the headers with which a kind of target announces its leaving and its limit."""
 
     leaving: str
     limit: str
 
 
 def parse_notice(status: int, headers: Mapping[str, str], names: NoticeHeaders) -> TargetNotice:
-    """Return what a target says of itself.
+    """Parse the notice about a target from the head of its answer.
 
     Args:
-        status: the answer's HTTP status.
-        headers: the answer's headers.
-        names: the names of the headers that such targets use.
+        status: The HTTP status of the answer.
+        headers: The headers of the answer.
+        names: The names of the headers that this kind of target uses.
     """
     retry_after = headers.get(RETRY_AFTER) if status in REJECTION_STATUSES else None
     leaving = headers.get(names.leaving, "").strip() not in _NOT_LEAVING_VALUES
@@ -63,10 +63,10 @@
 
 
 def _parse_limit_per_s(limit_header: str | None) -> float | None:
-    """Return the limit that a header names; anything but a number above 0 names none.
+    """Return the limit in a header, or None if it is not a number above 0.
 
-    By a limit of 0 nobody would send, so nobody could hear that it is over; a target that wants
-    nothing asks to be left alone for a time.
+    With a limit of 0 nobody would send requests, so nobody could learn from an answer that it has
+    ended; a target that wants no requests requests a backoff instead.
     """
     if limit_header is None or not _DECIMAL_NUMBER.fullmatch(limit_header.strip()):
         return None
--- a/packages/ochreway-platform/src/ochreway_platform/calls.py
+++ b/packages/ochreway-platform/src/ochreway_platform/calls.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One call over HTTP with CBOR bodies, with a bound on its time."""
+"""HTTP calls with CBOR bodies and a timeout."""
 
 import aiohttp
 
@@ -9,10 +9,10 @@
 
 
 async def post(session: aiohttp.ClientSession, url: str, body: bytes, timeout_s: float) -> bytes:
-    """Post a body and return the answer's.
+    """Post a body and return the body of the answer.
 
     Raises:
-        PlatformError: when no good answer comes in time.
+        PlatformError: if the call fails, times out or returns a status other than 200.
     """
     timeout = aiohttp.ClientTimeout(total=timeout_s)
     headers = {"Content-Type": CONTENT_TYPE}
--- a/packages/ochreway-platform/src/ochreway_platform/errors.py
+++ b/packages/ochreway-platform/src/ochreway_platform/errors.py
@@ -7,29 +7,29 @@
 
 
 class PlatformError(OchrewayError):
-    """The platform or a target did not do what it was asked."""
+    """A request to the platform or to a target failed."""
 
 
 class TableUnavailable(PlatformError):
-    """The table did not answer a read."""
+    """A read of the table failed."""
 
 
 class ObjectMissing(PlatformError):
-    """The object store has no such object."""
+    """The object store has no object of that name."""
 
 
 class ObjectStoreUnavailable(PlatformError):
-    """The object store did not answer."""
+    """A request to the object store failed."""
 
 
 class ConfigurationUnavailable(PlatformError):
-    """The source of the configuration did not answer."""
+    """The configuration source is unavailable."""
 
 
 class ConfigurationUnreadable(ConfigurationUnavailable):
     """A version of the configuration cannot be decoded.
 
-    ``drained`` names the drained halls as of the same reading, which hold all the same.
+    ``drained`` holds the drained halls of the same reading, which are valid nevertheless.
     """
 
     def __init__(self, cause: str, drained: DrainedHalls = UNREAD_HALLS) -> None:
@@ -42,23 +42,23 @@
 
 
 class TargetUnreachable(PlatformError):
-    """The target could not be reached, so it cannot have begun anything."""
+    """The target could not be reached, so it cannot have started the request."""
 
 
 class HandOverRefused(PlatformError):
-    """The hand-over was not allowed any more, so the target was not given the work."""
+    """The hand-over was no longer allowed, so the target did not receive the request."""
 
 
 class TargetBroke(PlatformError):
-    """The target broke off after it was reached."""
+    """The target failed after it was reached."""
 
 
 class ReportUnreadable(TargetBroke):
-    """A target's report of itself cannot be decoded."""
+    """A target's report of its state cannot be decoded."""
 
 
 class TargetTurnedAway(PlatformError):
-    """The target did not begin what it was given, and asks to be left alone for a while."""
+    """The target rejected a request without starting it and may request a backoff."""
 
     def __init__(self, notice: TargetNotice) -> None:
         super().__init__(f"asks to be left alone for {notice.backoff_s} s")
--- a/packages/ochreway-platform/src/ochreway_platform/httpobjectstore.py
+++ b/packages/ochreway-platform/src/ochreway_platform/httpobjectstore.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The object store over HTTP."""
+"""Object store accessed over HTTP."""
 
 import aiohttp
 
@@ -8,7 +8,7 @@
 
 
 class HttpObjectStore(ObjectStore):
-    """Get and put objects at a base address."""
+    """Get and put objects below a base URL."""
 
     def __init__(self, session: aiohttp.ClientSession, base_url: str, timeout_s: float) -> None:
         self._session = session
@@ -27,7 +27,7 @@
             raise ObjectStoreUnavailable(str(error)) from error
 
     async def put(self, name: str, content: bytes) -> None:
-        """Keep an object."""
+        """Store an object."""
         try:
             async with self._session.put(
                 self._url(name), data=content, timeout=self._timeout
--- a/packages/ochreway-platform/src/ochreway_platform/httptable.py
+++ b/packages/ochreway-platform/src/ochreway_platform/httptable.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The table over HTTP."""
+"""Table accessed over HTTP."""
 
 from collections.abc import Mapping
 
@@ -15,7 +15,7 @@
 
 
 class HttpTable(Table):
-    """Speak to the platform's table at a base address."""
+    """Access the platform's table below a base URL."""
 
     def __init__(self, session: aiohttp.ClientSession, base_url: str, timeout_s: float) -> None:
         self._session = session
@@ -23,7 +23,7 @@
         self._timeout_s = timeout_s
 
     async def read(self, prefixes: tuple[str, ...]) -> Mapping[str, Row]:
-        """Return every row below the prefixes."""
+        """Return all rows whose keys start with one of the prefixes."""
         url = f"{self._base_url}/table/read"
         try:
             body = await post(self._session, url, encode(ReadCall(prefixes)), self._timeout_s)
@@ -32,7 +32,7 @@
             raise TableUnavailable(str(error)) from error
 
     async def commit(self, transaction: Transaction) -> CommitReply:
-        """Commit a transaction; any failure leaves its fate unknown."""
+        """Commit a transaction; after any failure its outcome is unknown."""
         url = f"{self._base_url}/table/commit"
         try:
             body = await post(self._session, url, encode(transaction), self._timeout_s)
--- a/packages/ochreway-platform/src/ochreway_platform/httptarget.py
+++ b/packages/ochreway-platform/src/ochreway_platform/httptarget.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A target over HTTP."""
+"""Target accessed over HTTP."""
 
 from collections.abc import AsyncIterator, Callable
 
@@ -24,16 +24,16 @@
 
 STATE_TIMEOUT_S = 1.0
 NOT_RUN_HEADER = "Not-Run"
-"""The header in which a target says that it did not begin what it turned away."""
+"""Header with which a target states that it did not start the request it rejected."""
 NOTICE_HEADERS = NoticeHeaders(leaving="Leaving", limit="Request-Limit")
-"""The headers in which a target says that it ends soon, and how many requests a second it takes."""
+"""Headers with which a target announces its leaving and its limit of requests per second."""
 EVENT_STREAM_TYPE = "text/event-stream"
 STREAM_END = b"data: [DONE]\n\n"
 EVENT_END = b"\n\n"
 
 
 class HttpTarget(Target):
-    """Speak to the engine or the service at a base address."""
+    """Access the engine or the service at a base URL."""
 
     def __init__(self, session: aiohttp.ClientSession, base_url: str, kind: TargetKind) -> None:
         self._session = session
@@ -45,7 +45,7 @@
         self._on_notice: NoticeHandler = lambda notice, to_request: None
 
     def listen(self, on_notice: NoticeHandler) -> None:
-        """Have a part told of the notices in all answers from now on."""
+        """Set the handler that receives the notices of all further answers."""
         self._on_notice = on_notice
 
     def _report_notice(
@@ -56,14 +56,14 @@
         return notice
 
     def _raise_if_turned_away(self, response: aiohttp.ClientResponse) -> TargetNotice:
-        """Raise if the target turned a question or an order away and named a time."""
+        """Raise if the target rejected a state query or an order and requested a backoff."""
         notice = self._report_notice(response)
         if notice.backoff_s is not None:
             raise TargetTurnedAway(notice)
         return notice
 
     async def state(self) -> TargetReport:
-        """Return what the target has loaded."""
+        """Query what the target has loaded."""
         path = "/state" if self._kind is TargetKind.MODEL else "/health"
         try:
             async with self._session.get(self._base_url + path, timeout=self._timeout) as response:
@@ -84,7 +84,7 @@
             raise TargetUnreachable(str(error)) from error
 
     async def order(self, order: TargetOrder) -> None:
-        """Make the target load what the order says."""
+        """Order the target to load an artifact for a group."""
         content = {
             "epoch": order.epoch,
             "artifact": order.artifact,
@@ -100,11 +100,11 @@
             raise TargetUnreachable(str(error)) from error
 
     async def ended(self) -> bool:
-        """Tell whether nobody listens at the target's address any more."""
+        """Return whether nothing listens at the target's address any longer."""
         return await self._check.ended(self._address)
 
     async def run(self, submit: Submit, allowed: Callable[[], bool]) -> AsyncIterator[Chunk]:
-        """Yield the answer's pieces."""
+        """Yield the chunks of the answer."""
         body = _GatedBody(submit.body, allowed)
         timeout = aiohttp.ClientTimeout(total=submit.expires_in_s, connect=STATE_TIMEOUT_S)
         try:
@@ -129,7 +129,7 @@
 
 
 def host_and_port(base_url: str) -> str:
-    """Return the host and port that a base address names."""
+    """Return the host and port of a base URL."""
     url = URL(base_url)
     return f"{url.host}:{url.port}"
 
@@ -143,7 +143,7 @@
 
 
 class _GatedBody:
-    """Give out the body only if that is still allowed when the socket takes it."""
+    """Request body that is sent only if still allowed when it is about to be written."""
 
     def __init__(self, body: bytes, allowed: Callable[[], bool]) -> None:
         self._body = body
@@ -151,7 +151,7 @@
         self.refused = False
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body, or break the connection off."""
+        """Yield the body, or raise to abort the connection."""
         if not self._allowed():
             self.refused = True
             raise HandOverRefused("the gate closed before the hand-over")
@@ -167,7 +167,7 @@
         last_bytes = (last_bytes + piece)[-len(STREAM_END) :]
         received += len(piece)
         tokens = piece.count(EVENT_END) if streamed else 0
-        # An answer known to be whole need not wait for the connection to say so.
+        # A complete answer need not wait for the end of the connection's stream.
         complete = last_bytes == STREAM_END if streamed else received == response.content_length
         yield Chunk(piece, tokens, status, content_type, last=complete)
         if complete:
--- a/packages/ochreway-platform/src/ochreway_platform/instancelist.py
+++ b/packages/ochreway-platform/src/ochreway_platform/instancelist.py
@@ -12,19 +12,19 @@
 
 
 class InstanceList(ABC):
-    """Read the list, which lags behind reality."""
+    """The platform's list of instances, which may lag behind their actual state."""
 
     @abstractmethod
     async def read(self) -> list[ListedInstance]:
         """Return the instances listed.
 
         Raises:
-            ListUnavailable: when the list cannot be read.
+            ListUnavailable: if the list cannot be read.
         """
 
 
 class MemoryInstanceList(InstanceList):
-    """Keep the list in memory."""
+    """Instance list in memory."""
 
     def __init__(self) -> None:
         self.instances: dict[NodeId, ListedInstance] = {}
@@ -35,7 +35,7 @@
 
 
 class HttpInstanceList(InstanceList):
-    """Read the list over HTTP, as JSON."""
+    """Instance list read over HTTP as JSON."""
 
     def __init__(self, session: aiohttp.ClientSession, base_url: str, timeout_s: float) -> None:
         self._session = session
@@ -45,7 +45,7 @@
         self._last_list: list[ListedInstance] = []
 
     async def read(self) -> list[ListedInstance]:
-        """Return the instances listed; an unchanged list is not sent again."""
+        """Return the listed instances; an unchanged list is not transferred again."""
         headers = {"If-None-Match": self._etag} if self._etag else {}
         try:
             async with self._session.get(
@@ -64,7 +64,7 @@
 
 
 def instance_from_json(item: dict[str, Any]) -> ListedInstance:
-    """Read one instance from the list's JSON."""
+    """Decode one instance of the list from JSON."""
     return ListedInstance(
         node=NodeId(item["name"]),
         address=item["address"],
@@ -76,7 +76,7 @@
 
 
 def instance_to_json(instance: ListedInstance) -> dict[str, str]:
-    """Write one instance as the list's JSON."""
+    """Encode one instance of the list as JSON."""
     return {
         "name": instance.node,
         "address": instance.address,
--- a/packages/ochreway-platform/src/ochreway_platform/memoryobjectstore.py
+++ b/packages/ochreway-platform/src/ochreway_platform/memoryobjectstore.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An object store in memory, for tests and stand-ins."""
+"""Object store in memory, for tests and stand-ins."""
 
 from ochreway_platform.errors import ObjectMissing
 from ochreway_platform.objectstore import ObjectStore
@@ -18,7 +18,7 @@
         return self.objects[name]
 
     async def put(self, name: str, content: bytes) -> None:
-        """Keep an object."""
+        """Store an object."""
         self.objects[name] = content
 
 
--- a/packages/ochreway-platform/src/ochreway_platform/memorytable.py
+++ b/packages/ochreway-platform/src/ochreway_platform/memorytable.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A table in memory, for tests and stand-ins."""
+"""Table in memory, for tests and stand-ins."""
 
 from collections.abc import Mapping
 
--- a/packages/ochreway-platform/src/ochreway_platform/objectstore.py
+++ b/packages/ochreway-platform/src/ochreway_platform/objectstore.py
@@ -5,23 +5,23 @@
 
 
 class ObjectStore(ABC):
-    """Keep immutable bytes under a name."""
+    """Store of immutable objects by name."""
 
     @abstractmethod
     async def get(self, name: str) -> bytes:
         """Return an object.
 
         Raises:
-            ObjectMissing: when there is none of that name.
-            ObjectStoreUnavailable: when the store does not answer.
+            ObjectMissing: if there is no object of that name.
+            ObjectStoreUnavailable: if the store does not answer.
         """
 
     @abstractmethod
     async def put(self, name: str, content: bytes) -> None:
-        """Keep an object; putting the same again changes nothing.
+        """Store an object; storing the same object again has no effect.
 
         Raises:
-            ObjectStoreUnavailable: when the store does not answer.
+            ObjectStoreUnavailable: if the store does not answer.
         """
 
 
--- a/packages/ochreway-platform/src/ochreway_platform/table.py
+++ b/packages/ochreway-platform/src/ochreway_platform/table.py
@@ -12,15 +12,15 @@
 
     @abstractmethod
     async def read(self, prefixes: tuple[str, ...]) -> Mapping[str, Row]:
-        """Return every row below the prefixes, as of one moment.
+        """Return a consistent snapshot of all rows whose keys start with one of the prefixes.
 
         Raises:
-            TableUnavailable: when the table does not answer.
+            TableUnavailable: if the table does not answer.
         """
 
     @abstractmethod
     async def commit(self, transaction: Transaction) -> CommitReply:
-        """Commit a transaction; when the answer does not come, its status is ``LOST``."""
+        """Commit a transaction; without an answer the status is ``LOST``."""
 
 
 __all__ = ["Table"]
--- a/packages/ochreway-platform/src/ochreway_platform/tablecodec.py
+++ b/packages/ochreway-platform/src/ochreway_platform/tablecodec.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The bodies of the table's HTTP protocol, in CBOR."""
+"""Bodies of the table's HTTP protocol, encoded as CBOR."""
 
 from dataclasses import dataclass
 
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadCall:
-    """Ask for the rows below some prefixes."""
+    """Request for the rows whose keys start with one of the prefixes."""
 
     prefixes: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ReadAnswer:
-    """Hold the rows that were found."""
+    """Rows that match the request."""
 
     rows: dict[str, Row]
 
--- a/packages/ochreway-platform/src/ochreway_platform/target.py
+++ b/packages/ochreway-platform/src/ochreway_platform/target.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A target: a model engine or a plain service, beside its agent."""
+"""Port to a target: a model engine or a plain service on the same instance as its agent."""
 
 from abc import ABC, abstractmethod
 from collections.abc import AsyncIterator, Callable
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetReport:
-    """Hold what a target says of itself."""
+    """State that a target reports."""
 
     epoch: Epoch
     artifact: str
@@ -25,51 +25,51 @@
 
 
 NoticeHandler = Callable[[TargetNotice, bool], None]
-"""Told what the head of each answer says of the target, and whether it answers a request."""
+"""Called with the notice in the head of each answer, and whether that answers a request."""
 
 
 class Target(ABC):
-    """Ask a target for its state, order it, and have it run requests."""
+    """Query the state of a target, send it orders, and run requests on it."""
 
     @abstractmethod
     def listen(self, on_notice: NoticeHandler) -> None:
-        """Have a part told of the notices in all answers from now on."""
+        """Set the handler that receives the notices of all further answers."""
 
     @abstractmethod
     async def state(self) -> TargetReport:
-        """Return what the target has loaded.
+        """Query what the target has loaded.
 
         Raises:
-            TargetTurnedAway: when it asks to be left alone for a while.
-            TargetUnreachable: when it does not answer.
+            TargetTurnedAway: if it requests a backoff.
+            TargetUnreachable: if it does not answer.
         """
 
     @abstractmethod
     async def order(self, order: TargetOrder) -> None:
-        """Make the target load what the order says.
+        """Order the target to load an artifact for a group.
 
         Raises:
-            TargetTurnedAway: when it did not take it and asks to be left alone for a while.
-            TargetUnreachable: when it does not answer.
+            TargetTurnedAway: if it rejected the order and requests a backoff.
+            TargetUnreachable: if it does not answer.
         """
 
     @abstractmethod
     async def ended(self) -> bool:
-        """Tell whether the target's process has ended, as far as can be told."""
+        """Return whether the target's process is known to have ended."""
 
     @abstractmethod
     def run(self, submit: Submit, allowed: Callable[[], bool]) -> AsyncIterator[Chunk]:
-        """Yield the answer's pieces; closing the iterator cancels the work.
+        """Yield the chunks of the answer; closing the iterator cancels the request.
 
         Args:
-            submit: what to run.
-            allowed: asked at the last moment before the body is written.
+            submit: The request to run.
+            allowed: Called immediately before the body is written; returns whether it may be.
 
         Raises:
-            HandOverRefused: when it was not allowed any more, and nothing was run.
-            TargetTurnedAway: when it says that it did not begin, and perhaps when to come back.
-            TargetUnreachable: when the target cannot have begun.
-            TargetBroke: when it broke off, or its answer was not whole.
+            HandOverRefused: if it was no longer allowed; nothing was run.
+            TargetTurnedAway: if the target did not start it; it may request a backoff.
+            TargetUnreachable: if the target cannot have started it.
+            TargetBroke: if the target failed, or its answer was incomplete.
         """
 
 
--- a/packages/ochreway-platform/src/ochreway_platform/targetcheck.py
+++ b/packages/ochreway-platform/src/ochreway_platform/targetcheck.py
@@ -1,21 +1,21 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Whether a target's process has ended, or only a connection to it."""
+"""Check whether a target's process has ended, or only a connection to it."""
 
 import asyncio
 import contextlib
 
 CHECK_TIMEOUT_S = 0.25
-"""How long an answer is waited for; a process that has ended refuses within a round trip."""
+"""Bounds the wait for an answer; the instance of an ended process refuses within a round trip."""
 RESULT_MAX_AGE_S = 0.5
-"""For how long a result stands in for a further check of the same address."""
+"""How long a result is reused instead of checking the same address again."""
 
 
 class TargetCheck:
-    """Ask the kernel of a target's instance whether anybody listens, once for all who ask.
+    """Check by a TCP connection whether a target's process listens; concurrent checks are shared.
 
-    A connection that is refused shows that the process has ended. One that is taken, or that
-    nobody answers, shows nothing: the link may have been reset, or the instance be cut off.
-    No request is sent, and the connection is closed at once.
+    A refused connection proves that the process has ended. One that is accepted or not answered
+    proves nothing: an earlier link may have been reset, or the instance may be unreachable. No
+    request is sent, and the connection is closed at once.
     """
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         self._results: dict[str, tuple[float, bool]] = {}
 
     async def ended(self, address: str) -> bool:
-        """Tell whether the process that listened at an address has ended."""
+        """Return whether the process that listened at an address is known to have ended."""
         now_s = asyncio.get_running_loop().time()
         cached_result = self._results.get(address)
         if cached_result is not None and now_s - cached_result[0] < RESULT_MAX_AGE_S:
@@ -31,7 +31,7 @@
         task = self._pending_checks.get(address)
         if task is None:
             task = self._pending_checks[address] = asyncio.create_task(self._check(address))
-        # Whoever gives up does not end the check of the others.
+        # A caller that is cancelled must not cancel the check for the others.
         return await asyncio.shield(task)
 
     async def _check(self, address: str) -> bool:
@@ -53,7 +53,7 @@
     except ConnectionRefusedError:
         return True
     except (OSError, ValueError):
-        # Nobody can tell; the caller of this logs what became of the attempt.
+        # The result is unknown; the caller logs how the attempt ended.
         return False
     writer.close()
     with contextlib.suppress(OSError):
--- a/tests/platform/test_contracts.py
+++ b/tests/platform/test_contracts.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Each port's contract, run against its implementation in memory and over HTTP."""
+"""Contract tests of each port, run on its implementations in memory and over HTTP."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
