--- a/packages/ochreway-cli/src/ochreway_cli/explain/causes.py
+++ b/packages/ochreway-cli/src/ochreway_cli/explain/causes.py
@@ -4,177 +4,199 @@
 from collections.abc import Callable
 
 from ochreway_cli.explain.logline import LogLine
-from ochreway_cli.explain.story import Story
+from ochreway_cli.explain.timeline import RequestTimeline
 
-Cause = Callable[[Story, LogLine], str]
+Explainer = Callable[[RequestTimeline, LogLine], str]
 """Return a sentence on a line of a story."""
 
-CAUSES: dict[str, Cause] = {}
+EXPLAINERS: dict[str, Explainer] = {}
 """Sentences by the reason that a line names."""
 
 
-def cause(*reasons: str) -> Callable[[Cause], Cause]:
+def explains(*reasons: str) -> Callable[[Explainer], Explainer]:
     """Register the sentence for some reasons."""
 
-    def register(say: Cause) -> Cause:
-        CAUSES.update(dict.fromkeys(reasons, say))
-        return say
+    def register(explainer: Explainer) -> Explainer:
+        EXPLAINERS.update(dict.fromkeys(reasons, explainer))
+        return explainer
 
     return register
 
 
-@cause("group_incomplete")
-def _group_lost(story: Story, line: LogLine) -> str:
-    ended = [each for each in story.about_group(line) if each.get("phase") == "dissolving"]
-    if not ended:
+@explains("group_incomplete")
+def _group_lost(timeline: RequestTimeline, line: LogLine) -> str:
+    dissolutions = [
+        log_line
+        for log_line in timeline.group_events(line)
+        if log_line.get("phase") == "dissolving"
+    ]
+    if not dissolutions:
         return f"its group {line.get('group')} was given up; no line tells why"
-    return f"its group {line.get('group')} was given up{_of(ended[-1])}"
-
-
-@cause("target_failed", "link_lost", "answer_short")
-def _target_failed(story: Story, line: LogLine) -> str:
-    told = f"{line.get('target')} could not be reached, broke off, fell silent or failed"
-    given_up = [each for each in story.about_group(line) if each.get("phase") == "dissolving"]
-    if given_up:
-        return f"{told}; its group was given up{_of(given_up[-1])}"
-    lost = [each for each in story.lines if each.event == "engine_lost"]
-    for each in lost:
-        if each.get("instance") == line.get("target"):
-            return f"{told}; {each.node} found it lost ({each.get('cause')})"
-    return told
-
-
-@cause("no_group")
-def _no_group(story: Story, line: LogLine) -> str:
-    last = [
-        each
-        for each in story.lines
-        if each.event == "group"
-        and each.get("model") == line.get("model")
-        and each.get("phase") in ("closing", "dissolving")
+    return f"its group {line.get('group')} was given up{_cause_text(dissolutions[-1])}"
+
+
+@explains("target_failed", "link_lost", "answer_short")
+def _target_failed(timeline: RequestTimeline, line: LogLine) -> str:
+    sentence = f"{line.get('target')} could not be reached, broke off, fell silent or failed"
+    dissolving = [
+        log_line
+        for log_line in timeline.group_events(line)
+        if log_line.get("phase") == "dissolving"
     ]
-    told = f"no group of {line.get('model')} served, by view {line.get('view')}"
-    return f"{told}; the last one, {last[-1].get('group')}, ended{_of(last[-1])}" if last else told
+    if dissolving:
+        return f"{sentence}; its group was given up{_cause_text(dissolving[-1])}"
+    losses = [log_line for log_line in timeline.lines if log_line.event == "engine_lost"]
+    for log_line in losses:
+        if log_line.get("instance") == line.get("target"):
+            return f"{sentence}; {log_line.node} found it lost ({log_line.get('cause')})"
+    return sentence
+
+
+@explains("no_group")
+def _no_group(timeline: RequestTimeline, line: LogLine) -> str:
+    endings = [
+        log_line
+        for log_line in timeline.lines
+        if log_line.event == "group"
+        and log_line.get("model") == line.get("model")
+        and log_line.get("phase") in ("closing", "dissolving")
+    ]
+    sentence = f"no group of {line.get('model')} served, by view {line.get('view')}"
+    return (
+        f"{sentence}; the last one, {endings[-1].get('group')}, ended{_cause_text(endings[-1])}"
+        if endings
+        else sentence
+    )
 
 
-@cause("ends_targets")
-def _ends_targets(story: Story, line: LogLine) -> str:
-    asked = line.get("fingerprint")
-    told = [each for each in story.lines if each.event == "request_fatal"]
+@explains("ends_targets")
+def _ends_targets(timeline: RequestTimeline, line: LogLine) -> str:
+    fingerprint = line.get("fingerprint")
+    fatal_lines = [log_line for log_line in timeline.lines if log_line.event == "request_fatal"]
     tries = {
-        each.get("request")
-        for each in story.lines
-        if each.event == "attempt" and each.get("fingerprint") == asked
+        log_line.get("request")
+        for log_line in timeline.lines
+        if log_line.event == "attempt" and log_line.get("fingerprint") == fingerprint
     }
-    if not told:
-        return f"targets ended under other tries of the same ({asked}); no line names them"
+    if not fatal_lines:
+        return f"targets ended under other tries of the same ({fingerprint}); no line names them"
     return (
-        f"targets {told[-1].get('targets')} ended while they ran what it asks for ({asked}),"
-        f" in {len(tries)} tries that lines name, so it is sent to none"
+        f"targets {fatal_lines[-1].get('targets')} ended while they ran what it asks for"
+        f" ({fingerprint}), in {len(tries)} tries that lines name, so it is sent to none"
     )
 
 
-@cause("no_home")
-def _no_home(story: Story, line: LogLine) -> str:
+@explains("no_home")
+def _no_home(timeline: RequestTimeline, line: LogLine) -> str:
     return (
         f"by version {line.get('version')} no hall that the entry knows is in a region"
         " that its route and its organisation allow"
     )
 
 
-@cause("queue_full")
-def _queue_full(story: Story, line: LogLine) -> str:
+@explains("queue_full")
+def _queue_full(timeline: RequestTimeline, line: LogLine) -> str:
     if line.event == "attempt":
         return f"{line.get('target')} had no slot; {line.get('load')} requests were counted there"
-    ended = {
-        each.get("group")
-        for each in story.lines
-        if each.event == "group" and each.get("phase") in ("closing", "dissolving")
+    ended_groups = {
+        log_line.get("group")
+        for log_line in timeline.lines
+        if log_line.event == "group" and log_line.get("phase") in ("closing", "dissolving")
     }
-    told = f"each of {line.get('places')} groups of {line.get('model')} had all it can take"
-    return f"{told}; {len(ended)} had been given up in the seconds before" if ended else told
+    sentence = f"each of {line.get('places')} groups of {line.get('model')} had all it can take"
+    return (
+        f"{sentence}; {len(ended_groups)} had been given up in the seconds before"
+        if ended_groups
+        else sentence
+    )
 
 
-@cause("backoff")
-def _backoff(story: Story, line: LogLine) -> str:
+@explains("backoff")
+def _backoff(timeline: RequestTimeline, line: LogLine) -> str:
     if line.event == "attempt" and line.get("status"):
         return f"{line.get('target')} turned it away and asked for {line.get('backoff_s')} s"
     if line.event == "attempt":
         return f"{line.get('target')} had asked to be left alone by the time it was to be sent"
-    asked = {each.get("target") for each in story.lines if each.event == "target_backoff"}
-    named = f": {', '.join(sorted(asked))}" if asked else ""
+    targets = {
+        log_line.get("target") for log_line in timeline.lines if log_line.event == "target_backoff"
+    }
+    named = f": {', '.join(sorted(targets))}" if targets else ""
     return f"each place that could take it had asked to be left alone for a while{named}"
 
 
-@cause("target_limit")
-def _target_limit(story: Story, line: LogLine) -> str:
+@explains("target_limit")
+def _target_limit(timeline: RequestTimeline, line: LogLine) -> str:
     limits: dict[str, str] = {}
-    for each in story.lines[: story.lines.index(line)]:
-        if each.event in ("target_limit", "target_limit_heard"):
-            limits[str(each.get("target"))] = str(each.get("limit_per_s"))
+    for log_line in timeline.lines[: timeline.lines.index(line)]:
+        if log_line.event in ("target_limit", "target_limit_heard"):
+            limits[str(log_line.get("target"))] = str(log_line.get("limit_per_s"))
     named = ", ".join(f"{target} {per_s} a second" for target, per_s in limits.items() if per_s)
-    told = "this entry had sent its part of what each place takes that named a limit"
-    return f"{told}: {named}" if named else told
+    sentence = "this entry had sent its part of what each place takes that named a limit"
+    return f"{sentence}: {named}" if named else sentence
 
 
-@cause("stale_version")
-def _stale(story: Story, line: LogLine) -> str:
-    told = (
+@explains("stale_version")
+def _stale_version(timeline: RequestTimeline, line: LogLine) -> str:
+    sentence = (
         f"the newest proof that version {line.get('version')} is in force"
         f" was {line.get('proof_age_s')} s old"
     )
-    away = story.before("configuration_unavailable", line)
-    return f"{told}; the store did not answer ({away.get('cause')})" if away else told
+    store_failure = timeline.last_before("configuration_unavailable", line)
+    return (
+        f"{sentence}; the store did not answer ({store_failure.get('cause')})"
+        if store_failure
+        else sentence
+    )
 
 
-@cause("no_configuration")
-def _no_configuration(story: Story, line: LogLine) -> str:
+@explains("no_configuration")
+def _no_configuration(timeline: RequestTimeline, line: LogLine) -> str:
     return "the entry had no configuration yet, as after a start"
 
 
-@cause("deadline_passed")
-def _deadline(story: Story, line: LogLine) -> str:
+@explains("deadline_passed")
+def _deadline_passed(timeline: RequestTimeline, line: LogLine) -> str:
     sends = line.get("sends") or line.get("send")
     return f"its time was over, after {line.get('took_s')} s and {sends} sends"
 
 
-@cause("stopping")
-def _stopping(story: Story, line: LogLine) -> str:
+@explains("stopping")
+def _stopping(timeline: RequestTimeline, line: LogLine) -> str:
     return "the entry was being stopped"
 
 
-@cause("unauthorised")
-def _unauthorised(story: Story, line: LogLine) -> str:
+@explains("unauthorised")
+def _unauthorised(timeline: RequestTimeline, line: LogLine) -> str:
     return f"version {line.get('version')} knows no such key"
 
 
-@cause("unknown_target")
-def _unknown(story: Story, line: LogLine) -> str:
+@explains("unknown_target")
+def _unknown_target(timeline: RequestTimeline, line: LogLine) -> str:
     return f"version {line.get('version')} has no such route"
 
 
-def why(story: Story, line: LogLine) -> str:
+def explain_line(timeline: RequestTimeline, line: LogLine) -> str:
     """Return a sentence on a line, empty when there is nothing to add."""
-    say = CAUSES.get(line.get("reason"))
-    if say is not None:
-        return say(story, line)
+    explainer = EXPLAINERS.get(line.get("reason"))
+    if explainer is not None:
+        return explainer(timeline, line)
     if line.event == "answered" and line.get("late") == "True":
-        return _late(line)
+        return _late_answer(line)
     return ""
 
 
-def _late(line: LogLine) -> str:
-    told = f"first part after {line.get('first_s')} s of {line.get('objective_s')} s"
+def _late_answer(line: LogLine) -> str:
+    sentence = f"first part after {line.get('first_s')} s of {line.get('objective_s')} s"
     if int(line.get("sends") or 0) > 1:
-        return f"{told}, as it was sent {line.get('sends')} times"
+        return f"{sentence}, as it was sent {line.get('sends')} times"
     if float(line.get("waited_s") or 0) > 0:
-        return f"{told}, {line.get('waited_s')} s of them waiting for a place"
-    return f"{told}, at {line.get('target')}"
+        return f"{sentence}, {line.get('waited_s')} s of them waiting for a place"
+    return f"{sentence}, at {line.get('target')}"
 
 
-def _of(change: LogLine) -> str:
+def _cause_text(change: LogLine) -> str:
     blamed = f" of {change.get('blamed')}" if change.get("blamed") else ""
     return f" by {change.node} ({change.get('cause') or 'no cause told'}{blamed})"
 
 
-__all__ = ["CAUSES", "cause", "why"]
+__all__ = ["EXPLAINERS", "explains", "explain_line"]
--- a/packages/ochreway-cli/src/ochreway_cli/explain/command.py
+++ b/packages/ochreway-cli/src/ochreway_cli/explain/command.py
@@ -9,12 +9,12 @@
 
 import click
 
-from ochreway_cli.explain.causes import why
-from ochreway_cli.explain.logline import LogLine, parse
-from ochreway_cli.explain.story import Story, tell
+from ochreway_cli.explain.causes import explain_line
+from ochreway_cli.explain.logline import LogLine, parse_line
+from ochreway_cli.explain.timeline import RequestTimeline, build_timeline
 
 EXIT_NOT_FOUND = 4
-LEFT_OUT = frozenset({"time", "level", "role", "node"})
+OMITTED_FIELDS = frozenset({"time", "level", "role", "node"})
 
 
 @click.command()
@@ -30,69 +30,75 @@
 
     Give the logs of all entries: the one that took the request, and whichever held the lease.
     """
-    story = tell(request, read(logs))
-    if not story.own:
+    timeline = build_timeline(request, read_logs(logs))
+    if not timeline.own:
         click.echo(
             f"no line names {request}: it came to another process, or its lines were left out"
             " (event=lines_dropped tells how many)",
             err=True,
         )
         sys.exit(EXIT_NOT_FOUND)
-    click.echo(json.dumps(_content(story), indent=1) if as_json else _text(story))
+    click.echo(json.dumps(_json_content(timeline), indent=1) if as_json else _format_text(timeline))
 
 
-def read(logs: tuple[Path, ...]) -> Iterator[LogLine]:
+def read_logs(logs: tuple[Path, ...]) -> Iterator[LogLine]:
     """Return the lines of several logs, numbered for each node."""
-    numbers: Counter[str] = Counter()
+    line_counts: Counter[str] = Counter()
     for log in logs:
         with log.open(encoding="utf-8", errors="replace") as lines:
             for text in lines:
-                found = parse(text, 0)
-                if found is None:
+                parsed = parse_line(text, 0)
+                if parsed is None:
                     continue
-                numbers[found.node] += 1
+                line_counts[parsed.node] += 1
                 yield LogLine(
-                    found.node, numbers[found.node], found.time_s, found.event, found.fields
+                    parsed.node,
+                    line_counts[parsed.node],
+                    parsed.time_s,
+                    parsed.event,
+                    parsed.fields,
                 )
 
 
-def _text(story: Story) -> str:
-    begin_s = story.lines[0].time_s
-    lines = [f"request {story.request}"]
-    for line in story.lines:
-        mark = "*" if line in story.own else " "
+def _format_text(timeline: RequestTimeline) -> str:
+    start_s = timeline.lines[0].time_s
+    lines = [f"request {timeline.request}"]
+    for line in timeline.lines:
+        prefix = "*" if line in timeline.own else " "
         lines.append(
-            f"{mark} {line.time_s - begin_s:8.3f} {line.node} {line.event} {_fields(line)}"
+            f"{prefix} {line.time_s - start_s:8.3f} {line.node} {line.event} {_format_fields(line)}"
         )
-        reason = why(story, line)
+        reason = explain_line(timeline, line)
         if reason:
             lines.append(f"{'':12}-> {reason}")
     return "\n".join(lines)
 
 
-def _fields(line: LogLine) -> str:
-    shown = {k: v for k, v in line.fields.items() if k not in LEFT_OUT and k != "request" and v}
+def _format_fields(line: LogLine) -> str:
+    shown = {
+        k: v for k, v in line.fields.items() if k not in OMITTED_FIELDS and k != "request" and v
+    }
     return " ".join(f"{name}={value}" for name, value in shown.items())
 
 
-def _content(story: Story) -> dict[str, object]:
-    end = story.end
+def _json_content(timeline: RequestTimeline) -> dict[str, object]:
+    end = timeline.end
     return {
-        "request": story.request,
+        "request": timeline.request,
         "ended": end.event if end is not None else None,
-        "why": why(story, end) if end is not None else "",
+        "why": explain_line(timeline, end) if end is not None else "",
         "lines": [
             {
                 "node": line.node,
                 "time_s": line.time_s,
                 "event": line.event,
-                "own": line in story.own,
-                "why": why(story, line),
-                "fields": {k: v for k, v in line.fields.items() if k not in LEFT_OUT},
+                "own": line in timeline.own,
+                "why": explain_line(timeline, line),
+                "fields": {k: v for k, v in line.fields.items() if k not in OMITTED_FIELDS},
             }
-            for line in story.lines
+            for line in timeline.lines
         ],
     }
 
 
-__all__ = ["explain", "read"]
+__all__ = ["explain", "read_logs"]
--- a/packages/ochreway-cli/src/ochreway_cli/explain/logline.py
+++ b/packages/ochreway-cli/src/ochreway_cli/explain/logline.py
@@ -6,7 +6,7 @@
 from datetime import datetime
 
 _PAIR = re.compile(r'(\w+)=("[^"]*"|\S*)')
-_BEGIN = re.compile(r"time=\S+ level=\S+ event=")
+_LINE_START = re.compile(r"time=\S+ level=\S+ event=")
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,15 +29,15 @@
         return self.get("group"), self.get("epoch")
 
 
-def parse(text: str, number: int) -> LogLine | None:
+def parse_line(text: str, number: int) -> LogLine | None:
     """Return what a line says, or None for one that no process of ours wrote.
 
     Whatever stands before its time, as collectors of logs put there, is passed over.
     """
-    begin = _BEGIN.search(text)
-    if begin is None:
+    prefix_match = _LINE_START.search(text)
+    if prefix_match is None:
         return None
-    fields = {name: value.strip('"') for name, value in _PAIR.findall(text[begin.start() :])}
+    fields = {name: value.strip('"') for name, value in _PAIR.findall(text[prefix_match.start() :])}
     try:
         time_s = datetime.fromisoformat(fields["time"].replace("Z", "+00:00")).timestamp()
     except ValueError:
@@ -46,4 +46,4 @@
     return LogLine(fields.get("node", ""), number, time_s, event, fields)
 
 
-__all__ = ["LogLine", "parse"]
+__all__ = ["LogLine", "parse_line"]
