--- a/packages/ochreway-cli/src/ochreway_cli/explain/__init__.py
+++ b/packages/ochreway-cli/src/ochreway_cli/explain/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""From a request's id to what became of it and why, from the logs of several processes."""
+"""Explain the outcome of a request from the logs of several processes."""
 
 from ochreway_cli.explain.command import explain
 
--- a/packages/ochreway-cli/src/ochreway_cli/explain/causes.py
+++ b/packages/ochreway-cli/src/ochreway_cli/explain/causes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Saying in a sentence why a request ended as it did."""
+"""Sentences that explain why a request or an attempt ended as it did."""
 
 from collections.abc import Callable
 
@@ -7,14 +7,14 @@
 from ochreway_cli.explain.timeline import RequestTimeline
 
 Explainer = Callable[[RequestTimeline, LogLine], str]
-"""Return a sentence on a line of a story."""
+"""Returns a sentence that explains a line of a timeline."""
 
 EXPLAINERS: dict[str, Explainer] = {}
-"""Sentences by the reason that a line names."""
+"""Explainers by the value of a line's ``reason`` field."""
 
 
 def explains(*reasons: str) -> Callable[[Explainer], Explainer]:
-    """Register the sentence for some reasons."""
+    """Register the decorated function as the explainer of the given reasons."""
 
     def register(explainer: Explainer) -> Explainer:
         EXPLAINERS.update(dict.fromkeys(reasons, explainer))
@@ -176,7 +176,7 @@
 
 
 def explain_line(timeline: RequestTimeline, line: LogLine) -> str:
-    """Return a sentence on a line, empty when there is nothing to add."""
+    """Return a sentence that explains a line, or an empty string if there is nothing to add."""
     explainer = EXPLAINERS.get(line.get("reason"))
     if explainer is not None:
         return explainer(timeline, line)
--- a/packages/ochreway-cli/src/ochreway_cli/explain/command.py
+++ b/packages/ochreway-cli/src/ochreway_cli/explain/command.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The command that explains a request."""
+"""The ``ochreway explain`` command."""
 
 import json
 import sys
@@ -42,7 +42,7 @@
 
 
 def read_logs(logs: tuple[Path, ...]) -> Iterator[LogLine]:
-    """Return the lines of several logs, numbered for each node."""
+    """Yield the lines of several logs, numbered separately for each node."""
     line_counts: Counter[str] = Counter()
     for log in logs:
         with log.open(encoding="utf-8", errors="replace") as lines:
--- a/packages/ochreway-cli/src/ochreway_cli/explain/logline.py
+++ b/packages/ochreway-cli/src/ochreway_cli/explain/logline.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One line of a process's log."""
+"""Parsing of one line of a process log."""
 
 import re
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """Hold what a line says; ``number`` is its place in the log of its node."""
+    """A parsed log line; ``number`` is its position in the log of its node."""
 
     node: str
     number: int
@@ -20,19 +20,19 @@
     fields: dict[str, str]
 
     def get(self, name: str) -> str:
-        """Return a field, empty when the line lacks it."""
+        """Return a field, or an empty string if the line does not have it."""
         return self.fields.get(name, "")
 
     @property
     def group(self) -> tuple[str, str]:
-        """Return the group and the epoch that the line is about."""
+        """Return the group and the epoch that the line refers to."""
         return self.get("group"), self.get("epoch")
 
 
 def parse_line(text: str, number: int) -> LogLine | None:
-    """Return what a line says, or None for one that no process of ours wrote.
+    """Parse a line; return None if it is not in the log format of ochreway.
 
-    Whatever stands before its time, as collectors of logs put there, is passed over.
+    Any prefix before the ``time`` field, such as log collectors add, is skipped.
     """
     prefix_match = _LINE_START.search(text)
     if prefix_match is None:
--- a/packages/ochreway-cli/src/ochreway_cli/explain/order.py
+++ b/packages/ochreway-cli/src/ochreway_cli/explain/order.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Putting lines of several processes in order although their clocks disagree."""
+"""Causal ordering of log lines from several processes whose clocks disagree."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -11,15 +11,15 @@
 GROUP_INCOMPLETE = "group_incomplete"
 
 Edges = set[tuple[int, int]]
-"""Pairs of places in a list of lines, the earlier one first."""
+"""Pairs of indexes into a list of lines; the first line precedes the second."""
 
 
 def causal_order(lines: list[LogLine]) -> list[LogLine]:
-    """Return lines in an order that contradicts no process and no cause.
+    """Sort lines in an order consistent with each process's log and with causality.
 
-    A process's own lines keep their order. A group serves before a request is sent to it, is
-    given up before an attempt is ended for that, and goes through its phases in turn; leases and
-    their epochs rise. Among lines that nothing orders the clocks decide.
+    The lines of one process keep their order. A group is serving before a request is sent to it,
+    is dissolved before an attempt ends because of that, and passes through its phases in order;
+    lease revisions rise. Lines that none of this orders are sorted by their timestamps.
     """
     successors: dict[int, list[int]] = defaultdict(list)
     predecessor_counts = [0] * len(lines)
@@ -39,7 +39,7 @@
             if not predecessor_counts[later]:
                 heappush(ready, (lines[later].time_s, later))
     if len(ordered) < len(lines):
-        # Lines that contradict each other, as of two sites mixed, are left to the clocks.
+        # Contradictory lines, such as from the mixed logs of two sites, are sorted by timestamp.
         unordered = set(range(len(lines))) - set(ordered)
         ordered += sorted(unordered, key=lambda index: lines[index].time_s)
     return [lines[index] for index in ordered]
@@ -61,7 +61,7 @@
 
 
 def _phase_edges(lines: list[LogLine]) -> Edges:
-    """Order the phases of each group, which one holder of the lease may begin and another end."""
+    """Order the phases of each group; different lease holders may log different phases."""
     phase_indexes: dict[tuple[str, str], dict[str, int]] = defaultdict(dict)
     for index, line in enumerate(lines):
         if line.event == "group":
@@ -74,7 +74,7 @@
 
 
 def _attempt_edges(lines: list[LogLine]) -> Edges:
-    """Order attempts after their group serves, and those that its loss ended after that."""
+    """Order attempts after their group serves, and those that its loss ended after the loss."""
     serving = _group_indexes(lines, "serving")
     dissolving = _group_indexes(lines, "dissolving")
     edges = set()
--- a/packages/ochreway-cli/src/ochreway_cli/explain/timeline.py
+++ b/packages/ochreway-cli/src/ochreway_cli/explain/timeline.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The lines that tell what became of a request, and those that tell why."""
+"""The log lines of a request and those that explain its outcome."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -9,14 +9,14 @@
 
 WINDOW_BEFORE_S = 10.0
 WINDOW_AFTER_S = 1.0
-"""How long before and after a request lines of the same process may bear on it."""
+"""How long before and after a request lines of the same process are still relevant to it."""
 MAX_CLOCK_SKEW_S = 6.0
-"""By how much more those of other processes may be apart, whose clocks may be off by seconds."""
+"""Extends the window for lines of other processes, whose clocks may be off by seconds."""
 ENDS_TARGETS = "ends_targets"
 FATAL_REQUEST_EVENTS = frozenset(
     {"attempt", "request_suspected", "request_fatal", "request_on_trial", "request_cleared"}
 )
-"""Events that tell how targets ended under other tries of the same."""
+"""Events that show how targets crashed under other tries of the same request."""
 ENTRY_EVENTS = frozenset(
     {
         "configuration_unavailable",
@@ -32,18 +32,18 @@
         "lines_dropped",
     }
 )
-"""What an entry tells of itself that bears on each of its requests."""
+"""Events about the state of an entry, which affect each of its requests."""
 TARGET_NOTICE_EVENTS = frozenset(
     {"target_backoff", "target_leaving", "target_limit", "target_limit_heard", "limit_pool"}
 )
-"""What targets asked of an entry, which bears on where its requests went."""
+"""Events for notices from targets, which affect where an entry sends its requests."""
 SCARCITY_REASONS = frozenset({"no_group", "queue_full"})
-"""Reasons that come from the groups of a model there were, rather than from one of them."""
+"""Reasons caused by the groups of a model as a whole rather than by one of them."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestTimeline:
-    """Hold a request's own lines and those that bear on it, in order."""
+    """The lines that name a request (``own``) and all relevant lines, in causal order."""
 
     request: str
     own: list[LogLine]
@@ -51,12 +51,12 @@
 
     @property
     def end(self) -> LogLine | None:
-        """Return the line that tells how the request ended, if it was written."""
+        """Return the line that records how the request ended, or None if there is none."""
         ends = [line for line in self.own if line.event in ("answered", "refused", "broken")]
         return ends[-1] if ends else None
 
     def group_events(self, line: LogLine) -> list[LogLine]:
-        """Return what is told of the group that a line is about."""
+        """Return the ``group`` lines of the group that a line refers to."""
         return [
             log_line
             for log_line in self.lines
@@ -64,16 +64,16 @@
         ]
 
     def last_before(self, event: str, line: LogLine) -> LogLine | None:
-        """Return the last line of an event that stands before another one."""
+        """Return the last line of an event before the given line, or None."""
         position = self.lines.index(line)
         earlier = [log_line for log_line in self.lines[:position] if log_line.event == event]
         return earlier[-1] if earlier else None
 
 
 def build_timeline(request: str, lines: Iterable[LogLine]) -> RequestTimeline:
-    """Gather the lines that bear on a request; none when no line names it.
+    """Collect the lines relevant to a request; the timeline is empty if no line names it.
 
-    By its fingerprint those of every try are its own.
+    ``request`` may also be a fingerprint: the lines of every try with it count as own lines.
     """
     all_lines = list(lines)
     own = [line for line in all_lines if _mentions(line, request)]
@@ -115,7 +115,7 @@
 
 
 def _is_other_try(line: LogLine, own: list[LogLine]) -> bool:
-    """Tell whether a line is about other tries of what is asked for, where these decided."""
+    """Return whether a line is about other tries of a request refused for crashing targets."""
     fatal_fingerprints = [
         log_line.get("fingerprint") for log_line in own if log_line.get("reason") == ENDS_TARGETS
     ]
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -13,7 +13,7 @@
 from ochreway_cli.explain.timeline import RequestTimeline, build_timeline
 
 HOLDER_CLOCK_AHEAD_S = 5.0
-"""By how much the clock of the lease's holder is ahead in these logs."""
+"""How far the clock of the lease holder is ahead in these logs."""
 
 
 def format_line(node: str, at_s: float, event: str, **fields: object) -> str:
@@ -183,7 +183,7 @@
             [], [log_line for log_line in refused_timeline.lines if log_line.event == "engine_lost"]
         )
         assert refused_timeline.end is not None
-        # The holder's clock is 5 s ahead, which is within what is looked at.
+        # The clock of the holder is 5 s ahead, which MAX_CLOCK_SKEW_S allows for.
         self.assertIn(
             "no group of m served, by view 1/8",
             explain_line(refused_timeline, refused_timeline.end),
