--- a/packages/ochreway-core/src/ochreway_core/view.py
+++ b/packages/ochreway-core/src/ochreway_core/view.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The configuration that a process has applied."""
+"""The configuration in force at a process."""
 
 import zlib
 from collections import OrderedDict
@@ -16,15 +16,19 @@
 from ochreway_core.rows import RollRow
 from ochreway_core.signoff import Approval, verify
 
-KEEPERS_AT_MOST = 64
+MAX_KEEPERS = 64
+"""Bound on the nodes that keep callers' keys under one version."""
 HOMES_PER_KEY = 3
-BODIES_KEPT = 3
-BODY_BYTES_AT_MOST = 16 * 1024 * 1024
+"""How many of the keepers vote on a key."""
+MAX_BODIES = 3
+"""Bound on the recent bundles' bodies kept."""
+MAX_BODY_BYTES = 16 * 1024 * 1024
+"""Bound on a decompressed bundle."""
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Carry everything that a process needs to apply one accepted version."""
+    """Hold everything that a process needs to apply one accepted version."""
 
     roll: RollRow
     packed: bytes
@@ -32,28 +36,28 @@
 
     @property
     def body(self) -> bytes:
-        """Return the bundle's TOML, or as much of it as a bundle may have."""
-        return zlib.decompressobj().decompress(self.packed, BODY_BYTES_AT_MOST)
+        """Return the bundle's TOML, cut off at the bound on a bundle's size."""
+        return zlib.decompressobj().decompress(self.packed, MAX_BODY_BYTES)
 
 
-def snapshot_of(roll: RollRow, body: bytes, approvals: tuple[Approval, ...]) -> Snapshot:
-    """Return a snapshot that carries the body compressed."""
+def make_snapshot(roll: RollRow, body: bytes, approvals: tuple[Approval, ...]) -> Snapshot:
+    """Return a snapshot with the compressed body."""
     return Snapshot(roll, zlib.compress(body, 9), approvals)
 
 
 @dataclass(slots=True)
-class _Former:
+class _FormerKeepers:
     keepers: tuple[NodeId, ...]
     superseded_s: float
 
 
 class View:
-    """Apply accepted versions, each verified and none lower than one seen."""
+    """Apply accepted versions, each verified and never a lower one than before."""
 
     def __init__(self, operator_keys: dict[str, Ed25519PublicKey], key_memory_s: float) -> None:
         self._operator_keys = operator_keys
         self._key_memory_s = key_memory_s
-        self._former: list[_Former] = []
+        self._former: list[_FormerKeepers] = []
         self._bodies: OrderedDict[BundleHash, bytes] = OrderedDict()
         self.snapshot: Snapshot | None = None
         self.bundle: Bundle | None = None
@@ -61,13 +65,13 @@
 
     @property
     def version(self) -> Version:
-        """Return the version in force here, 0 before the first."""
+        """Return the version in force here, or 0 before the first."""
         return self.snapshot.roll.version if self.snapshot else NO_VERSION
 
     def apply(self, snapshot: Snapshot, now_s: float) -> Result[bool, str]:
         """Put a newer version in force; return whether anything changed.
 
-        A lower or equal version is left alone: messages may come late.
+        A lower or equal version is ignored, as messages may arrive late.
         """
         if snapshot.roll.version <= self.version:
             return Ok(False)
@@ -75,7 +79,7 @@
         if checked.is_err():
             return Err(checked.unwrap_err())
         invariants.version_moves_forward(self.version, snapshot.roll.version)
-        self._remember_former(snapshot.roll.former, now_s)
+        self._record_former(snapshot.roll.former, now_s)
         self.snapshot = snapshot
         self._keep_body(snapshot)
         self.bundle = checked.unwrap()
@@ -85,18 +89,18 @@
     def _keep_body(self, snapshot: Snapshot) -> None:
         self._bodies[snapshot.roll.bundle] = snapshot.body
         self._bodies.move_to_end(snapshot.roll.bundle)
-        while len(self._bodies) > BODIES_KEPT:
+        while len(self._bodies) > MAX_BODIES:
             self._bodies.popitem(last=False)
 
     def body_of(self, bundle: BundleHash) -> bytes | None:
-        """Return the body of a bundle that was in force here not long ago."""
+        """Return the body of a bundle that was recently in force here, or ``None``."""
         return self._bodies.get(bundle)
 
     def _check(self, snapshot: Snapshot) -> Result[Bundle, str]:
         try:
             body = snapshot.body
-        except zlib.error as fault:
-            return Err(f"the body does not unpack: {fault}")
+        except zlib.error as exc:
+            return Err(f"the body cannot be decompressed: {exc}")
         digest = bundle_hash(body)
         if digest != snapshot.roll.bundle:
             return Err("the body is not the one that was rolled")
@@ -104,26 +108,26 @@
         for approval in snapshot.approvals:
             try:
                 verify(approval, digest, self._operator_keys)
-            except SignatureInvalid as fault:
-                faults.append(str(fault))
+            except SignatureInvalid as exc:
+                faults.append(str(exc))
                 continue
             if approval.author == snapshot.roll.author:
                 return parse_bundle(body).map_err("; ".join)
             faults.append("the approval names another author")
         return Err("no valid approval: " + ("; ".join(faults) or "none given"))
 
-    def _remember_former(self, listed: tuple[tuple[NodeId, ...], ...], now_s: float) -> None:
+    def _record_former(self, listed: tuple[tuple[NodeId, ...], ...], now_s: float) -> None:
         oldest_s = now_s - self._key_memory_s
         self._former = [item for item in self._former if item.superseded_s > oldest_s]
         known = {item.keepers for item in self._former}
         superseded = {self.keepers, *listed} - known - {()}
-        self._former.extend(_Former(keepers, now_s) for keepers in sorted(superseded))
+        self._former.extend(_FormerKeepers(keepers, now_s) for keepers in sorted(superseded))
 
     def homes(self, key: str, now_s: float) -> list[frozenset[NodeId]]:
-        """Return each set of nodes of which a majority must grant a claim on the key.
+        """Return the sets of nodes; a claim on the key needs a majority in each.
 
-        The sets of versions that were superseded less than the key memory ago count too,
-        so a claim made under one version is seen under the next.
+        The sets of versions superseded within the key memory count too, so that a claim made
+        under one version is seen under the next.
         """
         recent = [
             item.keepers for item in self._former if now_s - item.superseded_s < self._key_memory_s
@@ -133,9 +137,9 @@
 
 
 def key_keepers(bundle: Bundle) -> tuple[NodeId, ...]:
-    """Return the nodes that remember callers' keys under a bundle."""
+    """Return the nodes that keep callers' keys under a bundle."""
     names = [NodeId(name) for name in bundle.instance_names()]
-    return tuple(rank("keepers", names)[:KEEPERS_AT_MOST])
+    return tuple(rank("keepers", names)[:MAX_KEEPERS])
 
 
-__all__ = ["HOMES_PER_KEY", "KEEPERS_AT_MOST", "Snapshot", "View", "key_keepers", "snapshot_of"]
+__all__ = ["HOMES_PER_KEY", "MAX_KEEPERS", "Snapshot", "View", "key_keepers", "make_snapshot"]
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/membership.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/membership.py
@@ -92,19 +92,19 @@
 
     def on_dismiss(self, sender: Peer, message: Dismiss, now_s: float) -> None:
         """Leave the group, as the table does not list this instance in any group."""
-        self.grant.learn(message.counter)
+        self.grant.observe_epoch(message.counter)
         if self.row is not None and self.row.epoch <= message.counter:
             self._leave_group(now_s, Epoch(message.counter + 1))
 
     def adopt(self, row: GroupRow, now_s: float) -> None:
         """Adopt a newer row of this instance's group or of the group it joins."""
-        if row.epoch < self.grant.highest or not self._is_newer(row):
+        if row.epoch < self.grant.highest_epoch or not self._is_newer(row):
             return
-        if not row.names(self.me.node):
+        if not row.includes(self.me.node):
             return
         same_formation = self.row is not None and self.row.fence == row.fence
         if same_formation and self.gate is not None:
-            self.gate.advance(row)
+            self.gate.update_row(row)
         if not same_formation:
             # Heartbeat numbers continue, so that a late grant cannot match a newer heartbeat.
             sequence = self.gate.sequence if self.gate is not None else 0
@@ -116,7 +116,7 @@
         self.row = row
         self._warm_order = None
         self._last_leader_heartbeat_s = now_s
-        self.grant.learn(row.epoch)
+        self.grant.observe_epoch(row.epoch)
         self._last_heartbeat_s = -1.0e9
         self._outbox.log(
             "group_row_adopted", group=row.group, epoch=row.epoch, step=row.step, leads=self.leads
@@ -125,7 +125,7 @@
     def _is_newer(self, row: GroupRow) -> bool:
         if self.row is None:
             return True
-        return row.age > self.row.age
+        return row.order_key > self.row.order_key
 
     def _leave_group(self, now_s: float, next_epoch: Epoch) -> None:
         former, self.row, gate, self.gate = self.row, None, self.gate, None
@@ -135,7 +135,7 @@
         if gate is not None and former.epoch != next_epoch:
             for peer in self._other_peers(former):
                 self._outbox.send(peer, Release(former.group, former.epoch))
-            self.grant.returned(former.epoch)
+            self.grant.end_grant(former.epoch)
         self._epoch_changed(now_s)
 
     @property
@@ -148,7 +148,7 @@
         if beat.row is not None:
             self.adopt(beat.row, now_s)
         if not self._matches_row(beat):
-            stale = beat.epoch < self.grant.highest
+            stale = beat.epoch < self.grant.highest_epoch
             reason = Reason.STALE_EPOCH if stale else Reason.NO_GROUP
             self._refuse(sender, beat, reason, 0.0)
             return
@@ -156,7 +156,7 @@
         # Recorded by a staying member too: it may be asked to stop after its leader has stopped.
         self.released = beat.released
         if self.leaving and beat.released:
-            self.grant.returned(beat.epoch)
+            self.grant.end_grant(beat.epoch)
             self._refuse(sender, beat, Reason.LEAVING, 0.0)
             return
         grant_result = self.grant.request(beat.epoch, now_s)
@@ -175,7 +175,7 @@
         The grant answers the same heartbeat as before, so it does not last longer.
         """
         sent = self._last_grant
-        if sent is None or not self.grant.fresh(sent.grant.epoch, now_s):
+        if sent is None or not self.grant.is_fresh(sent.grant.epoch, now_s):
             return
         ready = self.ready(now_s)
         if ready is not sent.grant.ready:
@@ -206,15 +206,15 @@
     def on_grant(self, sender: Peer, grant: Grant, now_s: float) -> None:
         """Record a member's grant."""
         if self.gate is not None and grant.epoch == self.gate.row.epoch:
-            self.gate.answered(sender.node, grant.sequence)
-            self.gate.granted(sender.node, grant.sequence, grant.ready, grant.leaving)
+            self.gate.record_reply(sender.node, grant.sequence)
+            self.gate.record_grant(sender.node, grant.sequence, grant.ready, grant.leaving)
 
     def on_grant_refusal(self, sender: Peer, refusal: GrantRefusal, now_s: float) -> None:
         """Attach the row to the next heartbeat, as the member may not know it."""
         if self.gate is None or refusal.epoch != self.gate.row.epoch:
             return
-        self.gate.answered(sender.node, refusal.sequence)
-        self.gate.forgot_row(sender.node)
+        self.gate.record_reply(sender.node, refusal.sequence)
+        self.gate.mark_row_unknown(sender.node)
         self._schedule_heartbeat(refusal.wait_s, now_s)
         if refusal.formation > self.gate.row.formation:
             # This leader restarted and lost a formation that its members still know.
@@ -223,12 +223,12 @@
 
     def on_release(self, sender: Peer, release: Release, now_s: float) -> None:
         """End the grant that a leader returns."""
-        self.grant.returned(release.epoch)
+        self.grant.end_grant(release.epoch)
 
     def report(self, now_s: float, drained: bool) -> Report:
         """Return this agent's report to a controller."""
         row = self.row
-        epoch = row.epoch if row else self.grant.highest
+        epoch = row.epoch if row else self.grant.highest_epoch
         return Report(
             node=self.me.node,
             incarnation=self.incarnation,
@@ -237,7 +237,7 @@
             step=row.step if row else 0,
             ready=self.ready(now_s),
             leaving=self.leaving,
-            granting=row is not None and self.grant.fresh(row.epoch, now_s),
+            granting=row is not None and self.grant.is_fresh(row.epoch, now_s),
             artifact=self.target.artifact if self.target.loaded else "",
             gate=self.closed_because(now_s),
             drained=drained,
@@ -322,12 +322,12 @@
         if self.gate is None or self._shutdown_sequence is None:
             return False
         waited_long = now_s - self._shutdown_announced_s >= SHUTDOWN_NOTICE_TIMEOUT_S
-        return waited_long or self.gate.all_heard(self._shutdown_sequence, now_s, self.me.node)
+        return waited_long or self.gate.all_answered(self._shutdown_sequence, now_s, self.me.node)
 
     def member_may_stop(self, now_s: float) -> bool:
         """Return whether stopping this member would interrupt no request of its group."""
         silent_s = now_s - self._last_leader_heartbeat_s
-        if self.row is None or not self.row.serves_on(self.me.node):
+        if self.row is None or not self.row.has_member(self.me.node):
             return True
         return self.released or silent_s > self.timing.leader_silent_s
 
@@ -340,7 +340,7 @@
             return target.loaded
         if not target.loaded or target.artifact != row.artifact:
             return False
-        return target.epoch == row.fence or not row.serves_on(self.me.node)
+        return target.epoch == row.fence or not row.has_member(self.me.node)
 
     def _desired_order(self) -> TargetOrder | None:
         """Return the order for what the target should have loaded, if this agent controls that."""
@@ -348,7 +348,7 @@
             return self._warm_order
         if self.row.kind is TargetKind.SERVICE:
             return None
-        if not self.row.serves_on(self.me.node):
+        if not self.row.has_member(self.me.node):
             return TargetOrder(self.row.fence, self.row.artifact)
         return order_for(self.row)
 
@@ -356,7 +356,7 @@
         """Return whether an order may still be sent to the target; checked right before sending."""
         epoch = self.row.epoch if self.row is not None else self._warm_epoch
         # An empty target serves no group, so an unexpired grant to another leader is no obstacle.
-        may_move = self.grant.may_move(epoch, now_s) or self._target_is_empty(now_s)
+        may_move = self.grant.can_grant(epoch, now_s) or self._target_is_empty(now_s)
         return self._desired_order() == order and may_move and not self.backoff_s(now_s)
 
     def _target_is_empty(self, now_s: float) -> bool:
@@ -367,8 +367,8 @@
 
     def on_warm(self, sender: Peer, message: Warm, now_s: float) -> None:
         """Load an artifact while this instance belongs to no group."""
-        if message.counter >= self.grant.highest:
-            self.grant.learn(message.counter)
+        if message.counter >= self.grant.highest_epoch:
+            self.grant.observe_epoch(message.counter)
             self._warm_epoch = message.counter
             self._warm_order = TargetOrder(fence_of(message.counter), message.artifact)
 
@@ -392,8 +392,8 @@
     def _replace_lost_members(self, gate: LeaderGate, now_s: float) -> None:
         """Replace lost members by standbys, which does not need the table."""
         row = gate.row
-        lost = gate.lost(now_s, self.timing.standby_after_s)
-        available = gate.able_standbys(now_s)
+        lost = gate.lost_members(now_s, self.timing.standby_after_s)
+        available = gate.available_standbys(now_s)
         if not lost or len(available) < len(lost) or row.draining:
             return
         replacements = dict(zip(lost, available, strict=False))
@@ -447,7 +447,7 @@
             self._shutdown_sequence, self._shutdown_announced_s = sequence, now_s
 
     def _other_peers(self, row: GroupRow) -> list[Peer]:
-        return [peer for peer in row.everyone if peer.node != self.me.node]
+        return [peer for peer in row.all_peers if peer.node != self.me.node]
 
     def _order_target(self, now_s: float) -> None:
         order = self._desired_order()
