--- a/packages/ochreway-direct/src/ochreway_direct/work.py
+++ b/packages/ochreway-direct/src/ochreway_direct/work.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What entries have under way, and sums of it."""
+"""Work of entries, and sums and differences of it."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """Count requests and prompt tokens not read yet at each place, and the work that arrives.
+    """Hold the requests under way and unread prompt tokens at each target, and the offered work.
 
-    ``offered`` is in groups kept busy, for each model.
+    ``offered`` is the rate of arriving work for each model, in fully busy groups.
     """
 
     under_way: dict[str, int] = field(default_factory=dict)
@@ -23,7 +23,7 @@
 NO_WORK = Work()
 
 
-def total(works: Iterable[Work]) -> Work:
+def sum_work(works: Iterable[Work]) -> Work:
     """Return the sum of several entries' work."""
     under_way: Counter[str] = Counter()
     unread: Counter[str] = Counter()
@@ -36,8 +36,8 @@
     return Work(dict(under_way), dict(unread), offered)
 
 
-def without(work: Work, part: Work) -> Work:
-    """Return what is left of a sum without a part of it."""
+def subtract_work(work: Work, part: Work) -> Work:
+    """Return a sum reduced by a part of it, with no count below zero."""
     offered = {m: max(0.0, rate - part.offered.get(m, 0.0)) for m, rate in work.offered.items()}
     return Work(
         dict(Counter(work.under_way) - Counter(part.under_way)),
@@ -46,4 +46,4 @@
     )
 
 
-__all__ = ["NO_WORK", "Work", "total", "without"]
+__all__ = ["NO_WORK", "Work", "sum_work", "subtract_work"]
--- a/tests/direct/test_lastmodels.py
+++ b/tests/direct/test_lastmodels.py
@@ -13,7 +13,7 @@
 
 
 def listed(membership: Membership | None) -> ListedTarget:
-    """Return an engine as the list shows it, in a group or in none."""
+    """Return a listed engine with the given membership."""
     model = LARGE.name if membership is not None else None
     state = EngineState(NEAR, model, (SMALL.name,), membership)
     return ListedTarget(ONE, SERVICE, "a:1", HallId("h"), False, 24, state)
@@ -22,21 +22,21 @@
 class LastModelsTests(testtools.TestCase):
     def test_a_model_is_known_after_the_engine_has_left_its_group(self) -> None:
         models = LastModels()
-        models.note([listed(None)])
-        self.assertIsNone(models.of(ONE))
-        models.note([listed(MEMBER)])
-        models.note([listed(None)])
-        self.assertEqual(LARGE.name, models.of(ONE))
+        models.record_targets([listed(None)])
+        self.assertIsNone(models.model_of(ONE))
+        models.record_targets([listed(MEMBER)])
+        models.record_targets([listed(None)])
+        self.assertEqual(LARGE.name, models.model_of(ONE))
 
     def test_an_engine_that_left_the_list_is_forgotten(self) -> None:
         models = LastModels()
-        models.note([listed(MEMBER)])
-        models.note([])
-        models.note([listed(None)])
-        self.assertIsNone(models.of(ONE))
+        models.record_targets([listed(MEMBER)])
+        models.record_targets([])
+        models.record_targets([listed(None)])
+        self.assertIsNone(models.model_of(ONE))
 
     def test_a_new_holder_forms_the_group_again_that_survivors_served(self) -> None:
-        """Its engines have other weights staged; only what they served last says they can."""
+        """The survivors have other weights staged; only their last model shows that they can."""
         world = EngineWorld(domains=0)
         for _ in range(LARGE.size):
             world.add(NEAR, LARGE.name)
