--- a/packages/ochreway-daemon/src/ochreway_daemon/__init__.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The ochrewayd binary: entry and agent."""
+"""The ochrewayd binary, which runs entries and agents."""
--- a/packages/ochreway-daemon/src/ochreway_daemon/agentshell.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/agentshell.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The agent process around its node."""
+"""Process shell of an agent: performs the I/O of its node."""
 
 import asyncio
 
@@ -30,7 +30,7 @@
 
 
 class AgentShell(Shell):
-    """Speak to the target on the node's behalf."""
+    """Access the target on behalf of the node."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         target.listen(self._on_notice)
 
     async def start(self) -> None:
-        """Begin to watch the target too."""
+        """Start the shell and the polling of the target."""
         await super().start()
         self.timer.every(STATE_POLL_S, lambda _: self._poll_state())
 
@@ -71,7 +71,7 @@
         self.spawn(self._read_state() if may_query else self._check_target_process())
 
     async def _check_target_process(self) -> None:
-        """Look whether the process of a target that asked to be left alone stands."""
+        """Check whether the process of a target in backoff still runs, without a request to it."""
         try:
             ended = await self._target.ended()
         finally:
@@ -160,7 +160,7 @@
     # Planned stop
 
     async def drain(self) -> bool:
-        """Take no new work and wait until what runs has ended; False when time ran out."""
+        """Accept no new work and wait for running work; return False on timeout."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + self.settings.drain_timeout_s
         self.post(self.node.leave)
--- a/packages/ochreway-daemon/src/ochreway_daemon/api/callerheaders.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/api/callerheaders.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What callers state in headers, with defaults that are safe."""
+"""Parsing of callers' request headers, with safe defaults."""
 
 import hashlib
 from collections.abc import Mapping
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerHeaders:
-    """Hold a request's terms."""
+    """Options of a request that its headers state."""
 
     deadline_in_s: float
     priority: Priority
@@ -45,10 +45,10 @@
     default_deadline_s: float,
     default_repeatable: bool,
 ) -> CallerHeaders:
-    """Read the terms of a request.
+    """Parse the options of a request.
 
     Raises:
-        CallerFault: when a header's value is not allowed.
+        CallerFault: if the value of a header is invalid.
     """
     return CallerHeaders(
         deadline_in_s=_parse_deadline_s(headers.get(DEADLINE_HEADER), default_deadline_s),
--- a/packages/ochreway-daemon/src/ochreway_daemon/api/callers.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/api/callers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The callers' interface: completions, models and plain services."""
+"""HTTP interface for callers: completions, models and plain services."""
 
 import asyncio
 import hashlib
@@ -33,7 +33,7 @@
 
 
 class CallerApi:
-    """Turn HTTP requests into the node's requests and its answers into HTTP."""
+    """Translate HTTP requests into requests to the node, and its answers into HTTP."""
 
     def __init__(self, shell: EntryShell, body_bytes_at_most: int, default_deadline_s: float):
         self._shell = shell
@@ -113,7 +113,7 @@
         if self._bundle.model_named(body.model) is None:
             return self._refuse_unknown(f"model {body.model}")
         name = OrganisationId(organisation.name)
-        # An answer costs tokens and may be acted on, so it is not repeated unless allowed.
+        # A completion costs tokens and may be acted on, so it is repeated only if allowed.
         headers = parse_headers(request.headers, name, self._default_deadline_s, False)
         node_request = self._build_request(
             name,
@@ -202,7 +202,7 @@
             raise
 
     async def _collect_answer(self, stream: CallerStream) -> web.StreamResponse:
-        """Wait for the whole answer, so that a broken one can be refused as such."""
+        """Wait for the complete answer, so that an incomplete one can be refused as such."""
         pieces: list[Deliver] = []
         received = 0
         while True:
--- a/packages/ochreway-daemon/src/ochreway_daemon/api/completionbody.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/api/completionbody.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The body of a completion request, as far as the system needs to understand it."""
+"""Parsing of the fields of a completion request that the system needs."""
 
 import json
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletionBody:
-    """Hold what routing and limits need of a body; the engine gets the bytes as they came."""
+    """Fields of a body that routing and limits need; the engine receives the original bytes."""
 
     model: str
     prompt: bytes
@@ -22,15 +22,15 @@
 
     @property
     def prompt_tokens(self) -> int:
-        """Return about how many tokens the prompt has."""
+        """Return an estimate of the number of prompt tokens."""
         return max(1, len(self.prompt) // BYTES_PER_TOKEN)
 
 
 def parse_completion(raw: bytes, chat: bool) -> CompletionBody:
-    """Read a completion request.
+    """Parse the body of a completion request.
 
     Raises:
-        CallerFault: when it is not JSON, or a field is missing or of the wrong type.
+        CallerFault: if it is not JSON, or a field is missing or of the wrong type.
     """
     try:
         content = json.loads(raw)
--- a/packages/ochreway-daemon/src/ochreway_daemon/api/health.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/api/health.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Health and readiness, for the platform's balancer."""
+"""Health and readiness endpoints for the platform's load balancer."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 
 
 def health_routes(why_not_ready: Callable[[], str]) -> list[web.RouteDef]:
-    """Return the routes; the callable gives an empty string when ready."""
+    """Return the routes; ``why_not_ready`` returns an empty string if the process is ready."""
 
     async def healthy(request: web.Request) -> web.Response:
         return web.json_response({"healthy": True})
--- a/packages/ochreway-daemon/src/ochreway_daemon/api/operators.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/api/operators.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The operators' interface of an entry: status, and the push of a committed roll."""
+"""HTTP interface of an entry for operators: status, and the push of a committed roll."""
 
 import asyncio
 import hmac
@@ -15,7 +15,7 @@
 
 
 class OperatorApi:
-    """Serve the operators' command, which shows the operator token."""
+    """Serve the operators' command, which authenticates with the operator token."""
 
     def __init__(self, shell: EntryShell, token: str) -> None:
         self._shell = shell
--- a/packages/ochreway-daemon/src/ochreway_daemon/api/refusal.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/api/refusal.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Refusals as callers see them."""
+"""HTTP responses for refused requests."""
 
 import math
 from collections.abc import Mapping
@@ -29,7 +29,7 @@
 def refusal_content(
     outcome: Outcome, reason: Reason, detail: str, request: str
 ) -> dict[str, object]:
-    """Return a refusal as JSON content."""
+    """Return the JSON content of a refusal."""
     return {
         "error": {
             "outcome": outcome.value,
@@ -47,7 +47,7 @@
     detail: str = "",
     request: str = "",
 ) -> web.Response:
-    """Return a refusal; ``Retry-After`` is left out when coming back is of no use."""
+    """Return a refusal; without a retry time, as when a retry is useless, no ``Retry-After``."""
     headers = {"X-Request-Id": request} if request else {}
     if retry_after_s > 0:
         headers["Retry-After"] = str(max(1, math.ceil(retry_after_s)))
@@ -59,7 +59,7 @@
 
 
 def request_error(reason: Reason, detail: str) -> web.Response:
-    """Return the refusal of a request that is wrong in itself."""
+    """Return the refusal of a request that is itself invalid."""
     return refusal(Outcome.NOT_RUN, reason, detail=detail)
 
 
--- a/packages/ochreway-daemon/src/ochreway_daemon/api/status.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/api/status.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What an entry knows of the system, for the operators' command."""
+"""An entry's view of the system, for the operators' command."""
 
 from collections import Counter
 from typing import Any
@@ -39,7 +39,7 @@
 
 
 def _halls_status(node: EntryNode, now_s: float) -> dict[str, Any]:
-    """Return the drained halls, and for each hall the groups and the requests that need it."""
+    """Return the drained halls, and the groups and in-flight requests that depend on each hall."""
     groups: Counter[str] = Counter()
     in_flight: Counter[str] = Counter()
     for row in node.keeper.groups():
--- a/packages/ochreway-daemon/src/ochreway_daemon/callerstream.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/callerstream.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What becomes of one request, from the node's owner to the caller's handler."""
+"""Queue from the task that runs the node to the handler of one caller's request."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 class CallerStream:
-    """Pass pieces of an answer and its end from one task to another."""
+    """Pass the pieces of an answer and its end from one task to another."""
 
     def __init__(self, request: RequestId, began_s: float) -> None:
         self.request = request
@@ -21,11 +21,11 @@
         self._pieces.put_nowait(piece)
 
     async def get(self) -> Deliver | Finish:
-        """Return the next piece."""
+        """Wait for the next piece and return it."""
         return await self._pieces.get()
 
     def get_available(self) -> list[Deliver | Finish]:
-        """Return the pieces that are there already."""
+        """Return the pieces that are available without waiting."""
         pieces = []
         while not self._pieces.empty():
             pieces.append(self._pieces.get_nowait())
--- a/packages/ochreway-daemon/src/ochreway_daemon/entryshell.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/entryshell.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The entry process around its node."""
+"""Process shell of an entry: performs the I/O of its node."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -34,7 +34,7 @@
 
 
 class EntryShell(Shell):
-    """Speak to the platform and to callers on the node's behalf."""
+    """Access the platform and serve callers on behalf of the node."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         )
 
     async def start(self) -> None:
-        """Begin to read the platform's list too."""
+        """Start the shell and the polling of the platform's list."""
         await super().start()
         self.timer.every(self.timing.list_poll_s, lambda _: self._poll_list())
 
@@ -77,7 +77,7 @@
         self.spawn(work)
 
     def on_link_down(self, node: NodeId) -> None:
-        """Have the node settle what was in flight."""
+        """Notify the node, which settles the attempts in flight on the link."""
         self.post(lambda now_s: self.node.on_link_down(node, now_s))
 
     # The platform
@@ -117,18 +117,18 @@
     # Callers
 
     def begin_request(self, request: Request) -> CallerStream:
-        """Begin a request and return the stream of what becomes of it."""
+        """Begin a request and return the stream of its answer."""
         stream = CallerStream(request.request, steadyclock.now_s())
         self._streams[request.request] = stream
         self.post(lambda now_s: self.node.on_request(request, now_s))
         return stream
 
     def cancel_request(self, request: RequestId) -> None:
-        """Cancel a request whose caller has gone."""
+        """Cancel a request whose caller has disconnected."""
         self.post(lambda _: self.node.on_caller_gone(request))
 
     def report_delivered(self, request: RequestId, delivered_bytes: int) -> None:
-        """Tell the node how many bytes of an answer the caller has taken."""
+        """Report to the node how many bytes of an answer the caller has received."""
         self.post(lambda _: self.node.on_passed(request, delivered_bytes))
 
     def _deliver(self, effect: Deliver) -> None:
@@ -154,7 +154,7 @@
             took_s=f"{took_s:.4f}",
         )
 
-    # Targets of the operators' old tools
+    # Legacy targets, which the operators' old tools still run
 
     def _send_or_run(self, effect: Send) -> None:
         if not is_legacy(effect.peer):
@@ -174,7 +174,7 @@
     # Planned stop
 
     async def drain(self) -> bool:
-        """Give leases up and wait until requests have ended; False when time ran out."""
+        """Release leases and wait for requests to end; return False on timeout."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + self.settings.drain_timeout_s
         self.post(self.node.stop)
--- a/packages/ochreway-daemon/src/ochreway_daemon/errors.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/errors.py
@@ -5,7 +5,7 @@
 
 
 class CallerFault(OchrewayError):
-    """A caller's request is not acceptable as it stands."""
+    """A caller's request is invalid."""
 
 
 __all__ = ["CallerFault"]
--- a/packages/ochreway-daemon/src/ochreway_daemon/legacyrunner.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/legacyrunner.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Requests to targets that the operators' old tools still run."""
+"""Requests to legacy targets, which the operators' old tools still run."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,11 +19,14 @@
 
 AnswerHandler = Callable[[object], None]
 LEAVING_BACKOFF_S = 30.0
-"""How long an entry chooses a target no more that leaves; it is sent nothing after that either."""
+"""Bounds the backoff reported for a target, such as one that leaves.
+
+The entry does not choose a leaving target during this time, and sends it nothing afterwards either.
+"""
 
 
 class LegacyRunner:
-    """Run attempts at such targets, answering as an agent would."""
+    """Run attempts on legacy targets and answer as an agent would."""
 
     def __init__(self, session: aiohttp.ClientSession, limits: SharedLimits) -> None:
         self._session = session
@@ -32,7 +35,7 @@
         self._backoffs = Backoffs()
 
     def start(self, task: "asyncio.Task[None]", submit: Submit) -> None:
-        """Remember the task of an attempt until it ends."""
+        """Keep the task of an attempt until it ends, so that it can be cancelled."""
         self._running[submit.attempt] = task
         task.add_done_callback(lambda _: self._running.pop(submit.attempt, None))
 
@@ -88,7 +91,7 @@
 
 
 def _backoff_refusal(submit: Submit, wait_s: float) -> Refusal:
-    """Return the refusal of what was not sent, or not begun, with the time to stay away."""
+    """Return the refusal of an attempt that was not sent or not started, with its backoff."""
     if not wait_s:
         return Refusal(submit.attempt, Outcome.NOT_RUN, Reason.QUEUE_FULL, 1.0)
     return Refusal(submit.attempt, Outcome.NOT_RUN, Reason.BACKOFF, min(wait_s, LEAVING_BACKOFF_S))
--- a/packages/ochreway-daemon/src/ochreway_daemon/main.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/main.py
@@ -84,7 +84,7 @@
 
 
 def common_options(command: F) -> F:
-    """Declare the settings that every daemon has."""
+    """Declare the settings that all daemons share."""
     for each in reversed(_COMMON):
         command = each(command)
     return command
@@ -107,7 +107,7 @@
 @option("--default-deadline-s", 60.0, "Deadline of a request that states none.")
 @option("--load-s", 30.0, "How long a group is expected to take to load a model.")
 def entry(only_check: bool, **given: Any) -> None:
-    """Take callers' requests, route them, and hold controller leases."""
+    """Accept callers' requests, route them and hold controller leases."""
     settings = EntrySettings(**given)
     _validate_or_exit(settings, only_check)
     sys.exit(steadyloop.run(_run_entry(settings)))
@@ -118,7 +118,7 @@
 @option("--target-url", "http://127.0.0.1:8000", "Base URL of the target beside this agent.")
 @option("--target-kind", "model", "model or service.")
 def agent(only_check: bool, **given: Any) -> None:
-    """Stand beside one target: its group, its orders, its requests."""
+    """Manage one target: its group membership, its orders and its requests."""
     settings = AgentSettings(**given)
     _validate_or_exit(settings, only_check)
     sys.exit(steadyloop.run(_run_agent(settings)))
--- a/packages/ochreway-daemon/src/ochreway_daemon/settings.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/settings.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Settings, checked at start with every error reported at once."""
+"""Settings of the daemons and their validation; all faults are reported together."""
 
 import base64
 import binascii
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommonSettings:
-    """Hold what every daemon needs."""
+    """Settings shared by all daemons."""
 
     name: str
     hall: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntrySettings(CommonSettings):
-    """Hold what an entry needs."""
+    """Settings of an entry."""
 
     peer: tuple[str, ...]
     operator_token: str = field(metadata={"secret": True})
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentSettings(CommonSettings):
-    """Hold what an agent needs."""
+    """Settings of an agent."""
 
     target_url: str
     target_kind: str
@@ -79,7 +79,7 @@
 
 
 def seed_peers(values: tuple[str, ...]) -> list[Peer]:
-    """Return the entries to ask while the platform's list cannot be read."""
+    """Return the entries to contact while the platform's list cannot be read."""
     return [Peer(NodeId(name), address) for name, address in map(_split_name, values)]
 
 
@@ -115,10 +115,10 @@
 
 
 def check_settings(settings: CommonSettings) -> None:
-    """Check every setting.
+    """Validate all settings.
 
     Raises:
-        SettingsInvalid: with a line for each error: flag, value, what is allowed.
+        SettingsInvalid: if any are invalid, with flag, value and allowed values for each.
     """
     faults = checks.find_faults(settings, CHECKS)
     tls = (settings.tls_certificate, settings.tls_key, settings.tls_authority)
@@ -129,10 +129,10 @@
 
 
 def decode_operator_keys(values: tuple[str, ...]) -> dict[str, Ed25519PublicKey]:
-    """Return each operator's public key.
+    """Decode the public keys of the operators, by name.
 
     Raises:
-        ValueError: when one is not NAME=BASE64 of 32 bytes.
+        ValueError: if one is not NAME=BASE64 of 32 bytes.
     """
     keys = {}
     for value in values:
--- a/packages/ochreway-daemon/src/ochreway_daemon/sharedlimits.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/sharedlimits.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Limits of targets that every entry sends to by itself, in equal shares."""
+"""Request limits of targets that every entry sends to directly, divided into equal shares."""
 
 from collections.abc import Callable, Sequence
 
@@ -11,25 +11,25 @@
 
 
 class SharedLimits:
-    """Keep what such targets are sent within this entry's share of the limits that they named."""
+    """Keep this entry's requests to such targets within its share of their limits."""
 
     def __init__(self, me: NodeId, entries: Callable[[], Sequence[NodeId]]) -> None:
-        """Share with the ``entries`` that are listed, of which this one is one."""
+        """Divide limits among the listed ``entries``, which include this one."""
         self._me = me
         self._entries = entries
         self._limits = TargetLimits()
         self._windows: dict[str, SlidingWindow] = {}
 
     def record_answer(self, url: str, limit_per_s: float | None, now_s: float) -> None:
-        """Take the limit that the answer to a request names, or that it names none."""
+        """Record the limit stated in the answer to a request; None if it states none."""
         self._limits.record_limit(url, LimitNotice(limit_per_s, now_s))
         if limit_per_s is None:
             self._windows.pop(url, None)
 
     def wait_s(self, url: str, now_s: float) -> float:
-        """Return how soon a target may be sent one more request; 0 if it may now.
+        """Return how long to wait before sending a target one more request; 0 if none.
 
-        Where this entry has no share, it is the time after which some entry may send one.
+        If this entry has no share, it is the interval after which some entry may send one.
         """
         limit_per_s = self._limits.limit_per_s(url)
         if limit_per_s is None:
@@ -42,13 +42,13 @@
         return window.free_in_s(own, quota.window_s, now_s)
 
     def _own_share(self, url: str, requests: int) -> int:
-        """Return an equal share; what is left over goes to other entries for other targets."""
+        """Return this entry's equal share; the remainder goes to different entries per target."""
         entries = rank(url, self._entries())
         each, left = divmod(requests, len(entries))
         return each + (self._me in entries[:left])
 
     def record_sent(self, url: str, now_s: float) -> None:
-        """Count a request that is sent now."""
+        """Count a request sent now."""
         if url in self._windows:
             self._windows[url].add(now_s)
 
--- a/packages/ochreway-daemon/src/ochreway_daemon/shell.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/shell.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The task that owns a node: events come as messages, effects go out."""
+"""Process shell of a node: delivers events to the node and performs its effects."""
 
 import asyncio
 from collections import deque
@@ -24,24 +24,24 @@
 
 
 class Node(Protocol):
-    """What a shell needs of a node."""
+    """Interface that a shell requires of a node."""
 
     @property
     def version(self) -> Version:
-        """Return the configuration version in force."""
+        """Return the current configuration version."""
 
     def take(self) -> list[Effect]:
-        """Return the effects asked for."""
+        """Return and clear the effects that the node requests."""
 
     def on_message(self, sender: Peer, version: Version, message: object, now_s: float) -> None:
-        """Handle a message."""
+        """Handle a message from another process."""
 
     def on_tick(self, now_s: float) -> None:
-        """Do what is due."""
+        """Perform the actions that are due."""
 
 
 class Shell:
-    """Run one node: its mailbox, its links, its timer, its counters."""
+    """Run one node with its mailbox, links, timer and counters."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
         self._mailbox_filled.set()
 
     def spawn(self, coroutine: Coroutine[None, None, None]) -> asyncio.Task[None]:
-        """Run a task of this process until it ends or the process stops."""
+        """Start a task that runs until it ends or the process stops."""
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -113,10 +113,10 @@
         self.on_link_down(node)
 
     def on_link_down(self, node: NodeId) -> None:
-        """Tell the node of a lost link, where it needs to know."""
+        """Notify the node of a lost link; does nothing unless overridden."""
 
     async def run_mailbox(self) -> None:
-        """Handle events one by one and carry out the effects of each."""
+        """Handle events one at a time and perform the effects of each."""
         loop = asyncio.get_running_loop()
         while True:
             await self._mailbox_filled.wait()
@@ -130,7 +130,7 @@
             self.effects[type(effect)](effect)
 
     async def start(self) -> None:
-        """Accept links and begin to tick."""
+        """Accept links and start the mailbox and the timer."""
         host, _, port = self.settings.link_listen.rpartition(":")
         await self.links.listen(host, int(port))
         self.timer.every(self.timing.tick_s, lambda _: self.post(self._node.on_tick))
@@ -138,7 +138,7 @@
         self.spawn(self.timer.run())
 
     async def stop(self) -> None:
-        """Close the links and end every task."""
+        """Close the links and cancel all tasks."""
         await self.links.close()
         for task in list(self._tasks):
             task.cancel()
--- a/packages/ochreway-daemon/src/ochreway_daemon/tls.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/tls.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""TLS for links, both ends with certificates of one authority."""
+"""Mutual TLS for links; both ends have certificates of the same authority."""
 
 import ssl
 
@@ -7,15 +7,15 @@
 
 
 def server_context(settings: CommonSettings) -> ssl.SSLContext | None:
-    """Return the context for accepted links, or nothing without TLS settings."""
+    """Return the context for accepted links, or None without TLS settings."""
     return _context(settings, ssl.PROTOCOL_TLS_SERVER)
 
 
 def client_context(settings: CommonSettings) -> ssl.SSLContext | None:
-    """Return the context for dialled links, or nothing without TLS settings."""
+    """Return the context for dialled links, or None without TLS settings."""
     context = _context(settings, ssl.PROTOCOL_TLS_CLIENT)
     if context is not None:
-        # Instances are named by address; the handshake proves the name that was dialled.
+        # Instances are dialled by address; the link handshake verifies the name of the peer.
         context.check_hostname = False
     return context
 
--- a/tests/daemon/test_tls.py
+++ b/tests/daemon/test_tls.py
@@ -25,7 +25,7 @@
 
 
 class Authority:
-    """Issue certificates into a folder."""
+    """Issue certificates and write them to a folder."""
 
     def __init__(self, name: str) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="ochreway-tls-"))
--- a/tests/processes/site.py
+++ b/tests/processes/site.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A running site for tests that need real processes."""
+"""Running site for tests that need real processes."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -16,7 +16,7 @@
 
 
 class RunningSite:
-    """Call a running site as its callers and operators do."""
+    """Access a running site as its callers and operators do."""
 
     def __init__(self, site: Site, session: aiohttp.ClientSession) -> None:
         self.site = site
@@ -41,7 +41,7 @@
         return status, content
 
     async def wait_for_key_homes(self, entry: str) -> None:
-        """Wait until an entry's claim on a key is won, which takes its homes' answers."""
+        """Wait until an entry can claim a key, which needs answers from the key's homes."""
         tries = iter(range(1000))
 
         async def won() -> bool:
--- a/tests/processes/test_backoff.py
+++ b/tests/processes/test_backoff.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The incident, where agents stand beside targets: a target names a time and goes on being sent to.
+"""Backoff requested by a target with an agent: the target must receive nothing in the meantime.
 
-What was seen and what caused it stands in ``platform/tests/test_backoff.py``. Here a target that
-turned work away with a time to come back was sent the next request, question and order at once,
-and its 503 was passed on as if it were an answer, though another replica of the service was free.
+``platform/tests/test_backoff.py`` describes the incident and its cause. With agents, a target that
+rejected work with a Retry-After received the next request, state query and order at once, and its
+503 was forwarded as an answer although another replica of the service was free.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
 
 
 async def early_arrivals(running: RunningSite, name: str) -> list[int]:
-    """Return how many came in each time that a target asked to be left alone for."""
+    """Return the number of arrivals in each backoff that received more than is allowed."""
     came = await arrivals(running, name)
     spans = [
         (each["at_s"] + IN_FLIGHT_S, each["at_s"] + each["asked_s"])
@@ -49,7 +49,7 @@
 
 
 async def confirm_for(running: RunningSite, for_s: float) -> list[tuple[int, Any]]:
-    """Have several callers confirm visits at both entries for a while."""
+    """Let several callers confirm visits at both entries for a time."""
     end_s = asyncio.get_running_loop().time() + for_s
     found: list[tuple[int, Any]] = []
 
@@ -64,7 +64,7 @@
 
 
 async def busier_service(running: RunningSite) -> str:
-    """Return the service that is sent more now."""
+    """Return the service that currently receives more requests."""
     await confirm_for(running, PAUSE_S)
     sent = {name: confirmations(await arrivals(running, name)) for name in SERVICES}
     return max(SERVICES, key=lambda name: sent[name])
--- a/tests/processes/test_callers.py
+++ b/tests/processes/test_callers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The callers' interface over HTTP: what is refused, and how."""
+"""HTTP interface for callers: which requests are refused, and with which answers."""
 
 import asyncio
 import json
--- a/tests/processes/test_faults.py
+++ b/tests/processes/test_faults.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Real processes on loopback: killed, frozen, stopped; the platform gone."""
+"""Faults of real processes on loopback: killed, frozen or stopped, or the platform unavailable."""
 
 import asyncio
 import signal
--- a/tests/processes/test_halls.py
+++ b/tests/processes/test_halls.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The operators' command drains a hall of real processes and gives it back."""
+"""The operators' command drains a hall of real processes and restores it."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 
 class HallTests(testtools.TestCase):
     async def place_engines(self, running: RunningSite) -> None:
-        """Put a member into a hall of its own, and have a spare in the other."""
+        """Place one member into a hall of its own and start a spare in the other hall."""
         site = running.site
         site.start_engine(SPARE_ENGINE)
         for listed in site.listed:
@@ -46,7 +46,7 @@
         return await asyncio.to_thread(running.site.command, *arguments)
 
     async def listed(self, running: RunningSite) -> dict[str, Any]:
-        """Return what the command says of the drained hall."""
+        """Return the command's listing of the drained hall."""
         done = await self.command(running, "--json", "hall", "list")
         self.assertEqual(0, done.returncode, done.stderr)
         halls = {each["hall"]: each for each in json.loads(done.stdout)["halls"]}
--- a/tests/processes/test_ports.py
+++ b/tests/processes/test_ports.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A process that cannot listen says so and ends, and the harness notices at once."""
+"""A process that cannot listen reports it and exits, and the harness detects it at once."""
 
 import asyncio
 import socket
--- a/tests/processes/test_targetlimit.py
+++ b/tests/processes/test_targetlimit.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The incident, where agents stand beside targets, and at targets of the operators' old tools.
+"""Limits stated by targets with agents, and by legacy targets of the operators' old tools.
 
-What was seen and what caused it stands in ``platform/tests/test_targetlimit.py``. Here too a target
-that named how many requests a second it takes went on getting as many as came: 39 and more within
-4 s through its agent where 20 are allowed, 134 where two entries send by themselves.
+``platform/tests/test_targetlimit.py`` describes the incident and its cause. Here too a target that
+stated a limit of requests per second received all requests that arrived: 39 and more within 4 s
+through its agent where 20 are allowed, and 134 where two entries send directly.
 """
 
 import asyncio
@@ -27,17 +27,17 @@
 LIMIT_WINDOW_S = 4.0
 EXCESS_FACTOR = 1.5
 SLACK_REQUESTS = 5
-"""By how much more than its limit a target may get in a span: a factor, and some requests."""
+"""Bound the excess over its limit that a target may receive in a window: a factor plus requests."""
 PROPAGATION_S = 3.0
 OBSERVED_S = 8.0
 MIN_USED_SHARE = 0.7
-"""Which part of a limit is used at the least while callers ask for more."""
+"""Minimum share of a limit that is used while callers request more."""
 WORK_S = 0.02
 PAUSE_S = 0.05
 
 
 def max_in_window(at_s: list[float]) -> int:
-    """Return the most that came in a span."""
+    """Return the maximum number of arrivals in a window."""
     return max(
         (sum(first <= each < first + LIMIT_WINDOW_S for each in at_s) for first in at_s), default=0
     )
@@ -49,7 +49,7 @@
 
 @dataclass
 class LegacyTarget:
-    """A target of old tools: note what comes, and name a limit."""
+    """Legacy target that records arrivals and states a limit."""
 
     limit_value: str | None = None
     arrivals_s: list[float] = field(default_factory=list)
