--- a/packages/ochreway-standins/src/ochreway_standins/soak/callers.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/callers.py
@@ -14,7 +14,7 @@
 from ochreway_standins.soak.operator import ORGANISATIONS
 from ochreway_standins.soak.process import Process
 from ochreway_standins.soak.simtarget import PIECES
-from ochreway_standins.soak.world import WALL_S, World
+from ochreway_standins.soak.world import START_WALL_S, World
 
 DEADLINE_S = (3.0, 10.0)
 TRIES = 3
@@ -67,7 +67,9 @@
         key = KeyDigest(f"key-{self._sequence}") if keyed else None
         repeatable = not keyed and rng.random() < 0.5
         deadline_s = self._world.clock.now_s + rng.uniform(*DEADLINE_S)
-        skewed_s = WALL_S + self._world.clock.now_s + rng.uniform(-CALLER_SKEW_S, CALLER_SKEW_S)
+        skewed_s = (
+            START_WALL_S + self._world.clock.now_s + rng.uniform(-CALLER_SKEW_S, CALLER_SKEW_S)
+        )
         issued_s = skewed_s if rng.random() < ISSUE_TIME_SHARE else 0.0
         self._ask(service, key, issued_s, repeatable, deadline_s, rng.randint(*PIECES), TRIES)
 
--- a/packages/ochreway-standins/src/ochreway_standins/soak/faults.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/faults.py
@@ -17,26 +17,31 @@
 from ochreway_standins.soak.process import Process
 from ochreway_standins.soak.simplatform import Mode
 from ochreway_standins.soak.simtarget import FATAL
-from ochreway_standins.soak.truth import AGENT_LEAVE_S, LIST_LAG_MOST_S, LIST_LEAVE_S, Truth
+from ochreway_standins.soak.truth import (
+    AGENT_LEAVE_GRACE_S,
+    LIST_LEAVE_GRACE_S,
+    MAX_LIST_LAG_S,
+    Truth,
+)
 from ochreway_standins.soak.world import HALL, OTHER_HALL, World
 
 Fault = Callable[["Faults"], None]
 
 FAULTS: dict[str, Fault] = {}
-STOP_POLL_S = 0.2
+STOP_POLL_INTERVAL_S = 0.2
 FATAL_TRIES = 40
 """How often a request comes that ends its targets: for some 20 s."""
-OWN_HALL_SHARE = 0.2
+MAIN_HALL_SHARE = 0.2
 """How often the hall is drained that most instances are in; few can then stand in for them."""
-HALL_DRAINED_S = (2.0, 14.0)
-ASKS_S = (0.6, 4.0)
+HALL_DRAIN_DURATION_S = (2.0, 14.0)
+REQUESTED_BACKOFF_S = (0.6, 4.0)
 """For how long a busy target asks to be left alone: once, or several times while it is."""
 LIMITS_PER_S = (0.3, 3.0)
-LIMITED_S = (4.0, 12.0)
+LIMIT_DURATION_S = (4.0, 12.0)
 """For how long a limit is named: some seconds longer than it may take until it is kept."""
 LEADER_BUSY_SHARE = 0.7
-STOP_GIVE_UP_S = 14.0
-REPLACED_AFTER_STOP_S = (0.2, 3.0)
+STOP_TIMEOUT_S = 14.0
+REPLACEMENT_DELAY_S = (0.2, 3.0)
 """Short enough that every fault has ended when progress is judged."""
 
 
@@ -76,28 +81,28 @@
         self.world.trace.append(f"{self.world.clock.now_s:.4f} fault {kind}")
         FAULTS[kind](self)
 
-    def lasting_s(self, least_s: float = 0.3, most_s: float = 8.0) -> float:
+    def draw_duration_s(self, min_s: float = 0.3, max_s: float = 8.0) -> float:
         """Draw how long a fault lasts."""
-        return self.world.random.uniform(least_s, most_s)
+        return self.world.random.uniform(min_s, max_s)
 
-    def some(self, processes: list[Process]) -> NodeId:
+    def pick_process(self, processes: list[Process]) -> NodeId:
         """Draw a process."""
         return self.world.random.choice(processes).peer.node
 
-    def some_leader(self) -> NodeId:
+    def pick_leader(self) -> NodeId:
         """Draw a group's leader, or any agent when there is none."""
         leaders = [
             each
             for each in self.world.agents()
             if isinstance(each.node, AgentNode) and each.node.membership.leads
         ]
-        return self.some(leaders or self.world.agents())
+        return self.pick_process(leaders or self.world.agents())
 
     def kill(
         self,
         node: NodeId,
         whole_instance: bool,
-        replaced_in_s: tuple[float, float] = (0.2, 10.0),
+        replacement_delay_s: tuple[float, float] = (0.2, 10.0),
     ) -> None:
         """Kill a process; it is replaced after a while."""
         if not self.world.processes[node].alive:
@@ -106,27 +111,29 @@
         if node.startswith("entry"):
             self.callers.entry_died(node)
         self.truth.quiet_from_s.pop(node, None)
-        self.truth.told_leaving.pop(node, None)
-        self.world.clock.after(self.lasting_s(*replaced_in_s), partial(self.world.boot, node))
+        self.truth.leaving_notices.pop(node, None)
+        self.world.clock.after(
+            self.draw_duration_s(*replacement_delay_s), partial(self.world.boot, node)
+        )
 
     def pause(self, node: NodeId) -> None:
         """Freeze a process for a while."""
         self.world.pause(node)
-        self.world.clock.after(self.lasting_s(), partial(self.world.wake, node))
+        self.world.clock.after(self.draw_duration_s(), partial(self.world.wake, node))
 
     def cut(self, one: NodeId, other: NodeId, both_ways: bool) -> None:
         """Cut a link for a while."""
         network = self.world.network
         directions = [(one, other), (other, one)] if both_ways else [(one, other)]
-        lasting_s = self.lasting_s()
+        duration_s = self.draw_duration_s()
         for direction in directions:
             network.cut(*direction)
-            self.world.clock.after(lasting_s, partial(network.heal, *direction))
+            self.world.clock.after(duration_s, partial(network.heal, *direction))
 
-    def platform(self, mode: Mode, lasting_s: float) -> None:
+    def fail_platform(self, mode: Mode, duration_s: float) -> None:
         """Make the platform fail for a while."""
         self.world.platform.mode = mode
-        self.world.clock.after(lasting_s, self._platform_up)
+        self.world.clock.after(duration_s, self._platform_up)
 
     def _platform_up(self) -> None:
         self.world.platform.mode = Mode.UP
@@ -152,11 +159,11 @@
             return
         now_s = self.world.clock.now_s
         if not process.paused:
-            self.truth.quiet_from_s[node] = now_s + AGENT_LEAVE_S
+            self.truth.quiet_from_s[node] = now_s + AGENT_LEAVE_GRACE_S
         self.world.post(process, agent.leave)
-        self._follow_stop(process, now_s + STOP_GIVE_UP_S)
+        self._poll_stop(process, now_s + STOP_TIMEOUT_S)
 
-    def _follow_stop(self, process: Process, give_up_s: float) -> None:
+    def _poll_stop(self, process: Process, timeout_at_s: float) -> None:
         node = process.peer.node
         agent = process.node
         if not process.alive or self.world.processes[node] is not process:
@@ -165,12 +172,12 @@
         assert isinstance(agent, AgentNode)
         if process.running and agent.may_stop(process.local_s(now_s)):
             self._check_stop(process)
-            self.kill(node, True, REPLACED_AFTER_STOP_S)
-        elif now_s > give_up_s:
-            self.kill(node, True, REPLACED_AFTER_STOP_S)
+            self.kill(node, True, REPLACEMENT_DELAY_S)
+        elif now_s > timeout_at_s:
+            self.kill(node, True, REPLACEMENT_DELAY_S)
         else:
-            again = partial(self._follow_stop, process, give_up_s)
-            self.world.clock.after(STOP_POLL_S, again)
+            again = partial(self._poll_stop, process, timeout_at_s)
+            self.world.clock.after(STOP_POLL_INTERVAL_S, again)
 
     def _check_stop(self, process: Process) -> None:
         agent = process.node
@@ -195,9 +202,9 @@
         entry = process.node
         if process.alive and isinstance(entry, EntryNode):
             self.world.post(process, entry.stop)
-            self._follow_entry_stop(process)
+            self._poll_entry_stop(process)
 
-    def _follow_entry_stop(self, process: Process) -> None:
+    def _poll_entry_stop(self, process: Process) -> None:
         entry = process.node
         if not process.alive or not isinstance(entry, EntryNode):
             return
@@ -206,7 +213,7 @@
                 self.truth.violate(Invariant.STOP_CUTS_NOTHING, f"{process.peer.node} has calls")
             self.kill(process.peer.node, whole_instance=False)
         else:
-            self.world.clock.after(STOP_POLL_S, partial(self._follow_entry_stop, process))
+            self.world.clock.after(STOP_POLL_INTERVAL_S, partial(self._poll_entry_stop, process))
 
     def list_leaving(self, node: NodeId) -> None:
         """Have only the platform's list say that an instance is leaving; it goes later."""
@@ -215,30 +222,30 @@
         if not process.alive:
             return
         platform.listed[node] = replace(platform.listed[node], leaving=True)
-        self.truth.quiet_from_s[node] = self.world.clock.now_s + LIST_LEAVE_S
-        self.world.clock.after(LIST_LEAVE_S + 3.0, partial(self.replace, process))
+        self.truth.quiet_from_s[node] = self.world.clock.now_s + LIST_LEAVE_GRACE_S
+        self.world.clock.after(LIST_LEAVE_GRACE_S + 3.0, partial(self.replace, process))
 
     def replace(self, process: Process) -> None:
         """Have an instance go, and another come in its place."""
         if process.alive and self.world.processes[process.peer.node] is process:
-            self.kill(process.peer.node, True, REPLACED_AFTER_STOP_S)
+            self.kill(process.peer.node, True, REPLACEMENT_DELAY_S)
 
 
 @fault("kill_agent")
 def _kill_agent(faults: Faults) -> None:
-    faults.kill(faults.some(faults.world.agents()), whole_instance=True)
+    faults.kill(faults.pick_process(faults.world.agents()), whole_instance=True)
 
 
 @fault("kill_agent_process")
 def _kill_agent_process(faults: Faults) -> None:
-    faults.kill(faults.some(faults.world.agents()), whole_instance=False)
+    faults.kill(faults.pick_process(faults.world.agents()), whole_instance=False)
 
 
 @fault("restart_many")
 def _restart_many(faults: Faults) -> None:
     world = faults.world
     for process in world.random.sample(world.agents(), len(world.agents()) * 2 // 3):
-        faults.kill(process.peer.node, whole_instance=False, replaced_in_s=(0.2, 0.6))
+        faults.kill(process.peer.node, whole_instance=False, replacement_delay_s=(0.2, 0.6))
 
 
 Regroup = Callable[["Faults", Process, GroupRow, GroupRow], FormGroup]
@@ -280,7 +287,7 @@
 def _take_member(faults: Faults, process: Process, taker: GroupRow, giver: GroupRow) -> FormGroup:
     taken = giver.members[1]
     faults.cut(process.peer.node, giver.leader.node, both_ways=True)
-    faults.kill(taken.node, whole_instance=False, replaced_in_s=(0.1, 0.3))
+    faults.kill(taken.node, whole_instance=False, replacement_delay_s=(0.1, 0.3))
     return FormGroup(taker.group, (*taker.members[:-1], taken), "taken", (giver.group,))
 
 
@@ -292,59 +299,63 @@
         assert isinstance(node, EntryNode)
         if any(controller.holding for controller in node.controllers.values()):
             world.pause(process.peer.node)
-            world.clock.after(faults.lasting_s(6.5, 12.0), partial(world.wake, process.peer.node))
+            world.clock.after(
+                faults.draw_duration_s(6.5, 12.0), partial(world.wake, process.peer.node)
+            )
 
 
 @fault("kill_leader")
 def _kill_leader(faults: Faults) -> None:
-    faults.kill(faults.some_leader(), faults.world.random.random() < 0.5)
+    faults.kill(faults.pick_leader(), faults.world.random.random() < 0.5)
 
 
 @fault("kill_entry")
 def _kill_entry(faults: Faults) -> None:
-    faults.kill(faults.some(faults.world.entries()), whole_instance=False)
+    faults.kill(faults.pick_process(faults.world.entries()), whole_instance=False)
 
 
 @fault("pause_agent")
 def _pause_agent(faults: Faults) -> None:
-    faults.pause(faults.some(faults.world.agents()))
+    faults.pause(faults.pick_process(faults.world.agents()))
 
 
 @fault("pause_leader")
 def _pause_leader(faults: Faults) -> None:
-    faults.pause(faults.some_leader())
+    faults.pause(faults.pick_leader())
 
 
 @fault("pause_entry")
 def _pause_entry(faults: Faults) -> None:
-    faults.pause(faults.some(faults.world.entries()))
+    faults.pause(faults.pick_process(faults.world.entries()))
 
 
 @fault("pause_in_hand_over")
 def _pause_in_hand_over(faults: Faults) -> None:
     world = faults.world
-    left = [3]
+    remaining = [3]
 
     def pause_s() -> float:
-        left[0] -= 1
-        if left[0] < 0:
-            world.hand_over_pause = lambda: 0.0
+        remaining[0] -= 1
+        if remaining[0] < 0:
+            world.next_hand_over_pause_s = lambda: 0.0
             return 0.0
-        return faults.lasting_s(0.5, 4.0)
+        return faults.draw_duration_s(0.5, 4.0)
 
-    world.hand_over_pause = pause_s
+    world.next_hand_over_pause_s = pause_s
 
 
 @fault("kill_in_hand_over")
 def _kill_in_hand_over(faults: Faults) -> None:
     world = faults.world
-    left = [3]
+    remaining = [3]
 
     def around(node: NodeId, moment: str) -> None:
-        if left[0] <= 0 or world.random.random() < 0.5:
+        if remaining[0] <= 0 or world.random.random() < 0.5:
             return
-        left[0] -= 1
-        faults.kill(node, whole_instance=world.random.random() < 0.3, replaced_in_s=(0.1, 2.0))
+        remaining[0] -= 1
+        faults.kill(
+            node, whole_instance=world.random.random() < 0.3, replacement_delay_s=(0.1, 2.0)
+        )
 
     world.around_hand_over = around
 
@@ -358,13 +369,13 @@
 
 @fault("cut_entry_leader")
 def _cut_entry_leader(faults: Faults) -> None:
-    entry = faults.some(faults.world.entries())
-    faults.cut(entry, faults.some_leader(), faults.world.random.random() < 0.5)
+    entry = faults.pick_process(faults.world.entries())
+    faults.cut(entry, faults.pick_leader(), faults.world.random.random() < 0.5)
 
 
 @fault("cut_off")
 def _cut_off(faults: Faults) -> None:
-    node = faults.some(list(faults.world.processes.values()))
+    node = faults.pick_process(list(faults.world.processes.values()))
     for other in faults.world.processes:
         if other != node:
             faults.cut(node, other, True)
@@ -375,86 +386,88 @@
     network = faults.world.network
     network.disorder = True
 
-    def order() -> None:
+    def restore_order() -> None:
         network.disorder = False
 
-    faults.world.clock.after(faults.lasting_s(), order)
+    faults.world.clock.after(faults.draw_duration_s(), restore_order)
 
 
 @fault("table_down")
 def _table_down(faults: Faults) -> None:
-    faults.platform(Mode.DOWN, faults.lasting_s(1.0, 12.0))
+    faults.fail_platform(Mode.DOWN, faults.draw_duration_s(1.0, 12.0))
 
 
 @fault("table_slow")
 def _table_slow(faults: Faults) -> None:
-    faults.platform(Mode.SLOW, faults.lasting_s(1.0, 10.0))
+    faults.fail_platform(Mode.SLOW, faults.draw_duration_s(1.0, 10.0))
 
 
 @fault("table_lossy")
 def _table_lossy(faults: Faults) -> None:
-    faults.platform(Mode.LOSSY, faults.lasting_s(1.0, 10.0))
+    faults.fail_platform(Mode.LOSSY, faults.draw_duration_s(1.0, 10.0))
 
 
 @fault("list_lag")
 def _list_lag(faults: Faults) -> None:
     platform = faults.world.platform
-    platform.list_lag_s = faults.lasting_s(2.0, LIST_LAG_MOST_S)
+    platform.list_lag_s = faults.draw_duration_s(2.0, MAX_LIST_LAG_S)
 
     def catch_up() -> None:
         platform.list_lag_s = 1.0
 
-    faults.world.clock.after(faults.lasting_s(), catch_up)
+    faults.world.clock.after(faults.draw_duration_s(), catch_up)
 
 
 @fault("target_breaks")
 def _target_breaks(faults: Faults) -> None:
-    target = faults.world.targets[faults.some_leader()]
+    target = faults.world.targets[faults.pick_leader()]
     target.broken = True
 
-    def mend() -> None:
+    def restore_target() -> None:
         target.broken = False
 
-    faults.world.clock.after(faults.lasting_s(), mend)
+    faults.world.clock.after(faults.draw_duration_s(), restore_target)
 
 
 @fault("target_busy")
 def _target_busy(faults: Faults) -> None:
     """Have a target turn away requests, questions and orders, and name a time each time."""
     rng = faults.world.random
-    leads = rng.random() < LEADER_BUSY_SHARE
-    node = faults.some_leader() if leads else faults.some(faults.world.agents())
-    faults.world.targets[node].turn_away(faults.lasting_s(), rng.uniform(*ASKS_S))
+    hits_leader = rng.random() < LEADER_BUSY_SHARE
+    node = faults.pick_leader() if hits_leader else faults.pick_process(faults.world.agents())
+    faults.world.targets[node].turn_away(
+        faults.draw_duration_s(), rng.uniform(*REQUESTED_BACKOFF_S)
+    )
 
 
 @fault("target_limited")
 def _target_limited(faults: Faults) -> None:
     """Have a target name a limit for a while, in each of its answers."""
     rng = faults.world.random
-    leads = rng.random() < LEADER_BUSY_SHARE
-    node = faults.some_leader() if leads else faults.some(faults.world.agents())
+    hits_leader = rng.random() < LEADER_BUSY_SHARE
+    node = faults.pick_leader() if hits_leader else faults.pick_process(faults.world.agents())
     target = faults.world.targets[node]
     target.limit_per_s = rng.uniform(*LIMITS_PER_S)
 
-    def over() -> None:
+    def lift_limit() -> None:
         target.limit_per_s = None
 
-    faults.world.clock.after(rng.uniform(*LIMITED_S), over)
+    faults.world.clock.after(rng.uniform(*LIMIT_DURATION_S), lift_limit)
 
 
 @fault("target_leaves")
 def _target_leaves(faults: Faults) -> None:
     """Have a target say in its answers alone that it leaves; it goes later."""
-    process = faults.world.processes[faults.some(faults.world.agents())]
+    process = faults.world.processes[faults.pick_process(faults.world.agents())]
     if not process.alive:
         return
     faults.world.targets[process.peer.node].leaving = True
-    faults.world.clock.after(LIST_LEAVE_S, partial(faults.replace, process))
+    faults.world.clock.after(LIST_LEAVE_GRACE_S, partial(faults.replace, process))
 
 
 @fault("target_crash")
 def _target_crash(faults: Faults) -> None:
-    faults.world.targets[faults.some(faults.world.agents())].crash()
+    faults.world.targets[faults.pick_process(faults.world.agents())].crash()
 
 
 @fault("fatal_request")
@@ -478,37 +491,37 @@
 @fault("roll_then_down")
 def _roll_then_down(faults: Faults) -> None:
     faults.roll("ann")
-    lasting_s = faults.lasting_s(1.0, 8.0)
-    faults.world.clock.after(0.1, partial(faults.platform, Mode.DOWN, lasting_s))
+    duration_s = faults.draw_duration_s(1.0, 8.0)
+    faults.world.clock.after(0.1, partial(faults.fail_platform, Mode.DOWN, duration_s))
 
 
 @fault("stop_agent")
 def _stop_agent(faults: Faults) -> None:
-    faults.stop_agent(faults.some(faults.world.agents()))
+    faults.stop_agent(faults.pick_process(faults.world.agents()))
 
 
 @fault("stop_leader")
 def _stop_leader(faults: Faults) -> None:
-    faults.stop_agent(faults.some_leader())
+    faults.stop_agent(faults.pick_leader())
 
 
 @fault("stop_entry")
 def _stop_entry(faults: Faults) -> None:
-    faults.stop_entry(faults.some(faults.world.entries()))
+    faults.stop_entry(faults.pick_process(faults.world.entries()))
 
 
 @fault("drain_hall")
 def _drain_hall(faults: Faults) -> None:
     """Drain a hall for a while; another drain meanwhile goes on in its place."""
-    hall = HALL if faults.world.random.random() < OWN_HALL_SHARE else OTHER_HALL
+    hall = HALL if faults.world.random.random() < MAIN_HALL_SHARE else OTHER_HALL
     faults.halls.want(hall)
-    lasting_s = faults.lasting_s(*HALL_DRAINED_S)
-    faults.world.clock.after(lasting_s, faults.halls.want)
+    duration_s = faults.draw_duration_s(*HALL_DRAIN_DURATION_S)
+    faults.world.clock.after(duration_s, faults.halls.want)
 
 
 @fault("list_leaving")
 def _list_leaving(faults: Faults) -> None:
-    faults.list_leaving(faults.some_leader())
+    faults.list_leaving(faults.pick_leader())
 
 
 __all__ = ["FAULTS", "Faults", "fault"]
--- a/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
@@ -52,7 +52,7 @@
     faults: tuple[str, ...]
     patch: Patch
     pairs: int = 5
-    rounds: int = 1
+    seed_factor: int = 1
     """How many times as many seeds, for harm that takes a rare meeting of faults."""
 
 
@@ -61,12 +61,12 @@
     invariants: tuple[str, ...],
     faults: tuple[str, ...],
     pairs: int = 5,
-    rounds: int = 1,
+    seed_factor: int = 1,
 ) -> Callable[[Patch], Patch]:
     """Register a guard's removal."""
 
     def register(patch: Patch) -> Patch:
-        GUARDS[name] = Guard(name, invariants, faults, patch, pairs, rounds)
+        GUARDS[name] = Guard(name, invariants, faults, patch, pairs, seed_factor)
         return patch
 
     return register
@@ -130,7 +130,11 @@
 
 
 @guard(
-    "withdraw_handed", ("not_run_true", "at_most_once"), ("cut_entry_leader",), pairs=12, rounds=4
+    "withdraw_handed",
+    ("not_run_true", "at_most_once"),
+    ("cut_entry_leader",),
+    pairs=12,
+    seed_factor=4,
 )
 def _withdraw_handed() -> contextlib.AbstractContextManager[Any]:
     def not_run(agent: Serving, sender: Peer, message: Withdraw, record: AttemptRecord) -> None:
@@ -156,8 +160,8 @@
 
 @guard("earlier_attempts", ("not_run_true",), ("target_breaks", "kill_leader", "kill_agent"), 8)
 def _earlier_attempts() -> contextlib.AbstractContextManager[Any]:
-    forgetting = property(lambda call: False, lambda call, value: None)
-    return mock.patch.object(Call, "may_have_run", forgetting)
+    never_ran = property(lambda call: False, lambda call, value: None)
+    return mock.patch.object(Call, "may_have_run", never_ran)
 
 
 @guard("key_claims", ("at_most_once",), ("kill_entry", "cut_entry_leader", "kill_leader"))
@@ -189,8 +193,8 @@
 
 @guard("leaving_closes", ("leaving_quiet",), ("stop_leader", "stop_agent", "list_leaving"))
 def _leaving_closes() -> contextlib.AbstractContextManager[Any]:
-    never = property(lambda membership: False, lambda membership, value: None)
-    return mock.patch.object(Membership, "leaving", never, create=True)
+    never_leaving = property(lambda membership: False, lambda membership, value: None)
+    return mock.patch.object(Membership, "leaving", never_leaving, create=True)
 
 
 @guard("stop_waits", ("stop_cuts_nothing",), ("stop_leader", "stop_agent"))
@@ -205,8 +209,8 @@
 
 @guard("drained_halls", ("drained_quiet",), ("drain_hall",))
 def _drained_halls() -> contextlib.AbstractContextManager[Any]:
-    none = property(lambda drains: frozenset())
-    return mock.patch.multiple(DrainState, halls=none, closed=lambda drains, now_s: frozenset())
+    no_halls = property(lambda drains: frozenset())
+    return mock.patch.multiple(DrainState, halls=no_halls, closed=lambda drains, now_s: frozenset())
 
 
 @guard("fatal_requests", ("fatal_quiet",), ("fatal_request",), 1)
@@ -238,30 +242,30 @@
 def _version_forward() -> contextlib.AbstractContextManager[Any]:
     original = View.apply
 
-    fallen: list[View] = []
+    reverted_views: list[View] = []
 
     def apply(view: View, snapshot: Any, now_s: float) -> Any:
         # Each view falls back once at most: two that always did would never come to rest.
-        if view not in fallen and 0 < snapshot.roll.version < view.version:
-            fallen.append(view)
+        if view not in reverted_views and 0 < snapshot.roll.version < view.version:
+            reverted_views.append(view)
             view.snapshot = None
         return original(view, snapshot, now_s)
 
     return mock.patch.object(View, "apply", apply)
 
 
-def violations_of(given: tuple[str, int, bool]) -> int:
+def violations_of(proof: tuple[str, int, bool]) -> int:
     """Run one seed of a guard's proof and count the violations of its invariants."""
-    name, seed, removed = given
+    name, seed, removed = proof
     chosen = GUARDS[name]
-    with _removed(chosen) if removed else contextlib.nullcontext():
+    with _without_guard(chosen) if removed else contextlib.nullcontext():
         result = Run(seed, list(chosen.faults), chosen.pairs).go()
     relevant = chosen.invariants if removed else ("",)
-    return sum(any(each in found for each in relevant) for found in result.violations)
+    return sum(any(each in violation for each in relevant) for violation in result.violations)
 
 
 @contextlib.contextmanager
-def _removed(chosen: Guard) -> Iterator[None]:
+def _without_guard(chosen: Guard) -> Iterator[None]:
     with chosen.patch():
         yield
 
@@ -274,19 +278,20 @@
 def main(seed: int, runs: int, jobs: int, only: str) -> None:
     """Fail unless every proof fails without its guard and passes with it."""
     names = [only] if only else list(GUARDS)
-    toothless = []
+    failed_names = []
     with multiprocessing.get_context("fork").Pool(jobs) as pool:
         for name in names:
-            seeds = range(seed, seed + runs * GUARDS[name].rounds)
-            without = sum(pool.map(violations_of, [(name, each, True) for each in seeds]))
-            with_it = sum(pool.map(violations_of, [(name, each, False) for each in seeds]))
+            seeds = range(seed, seed + runs * GUARDS[name].seed_factor)
+            count_without = sum(pool.map(violations_of, [(name, each, True) for each in seeds]))
+            count_with = sum(pool.map(violations_of, [(name, each, False) for each in seeds]))
             print(
-                f"guard={name} violations_without={without} violations_with={with_it}", flush=True
+                f"guard={name} violations_without={count_without} violations_with={count_with}",
+                flush=True,
             )
-            if not without or with_it:
-                toothless.append(name)
-    print(f"guards={len(names)} failed={len(toothless)} {','.join(toothless)}")
-    sys.exit(1 if toothless else 0)
+            if not count_without or count_with:
+                failed_names.append(name)
+    print(f"guards={len(names)} failed={len(failed_names)} {','.join(failed_names)}")
+    sys.exit(1 if failed_names else 0)
 
 
 if __name__ == "__main__":
--- a/packages/ochreway-standins/src/ochreway_standins/soak/operator.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/operator.py
@@ -11,7 +11,7 @@
 from ochreway_core.signoff import approve
 from ochreway_core.table import ABSENT, CommitReply, CommitStatus, Condition, ReadReply, Transaction
 from ochreway_core.view import key_keepers
-from ochreway_standins.soak.world import DOMAIN, KEY, SCOPE, WALL_S, World
+from ochreway_standins.soak.world import APPROVER_KEY, DOMAIN, SCOPE, START_WALL_S, World
 
 ORGANISATIONS = ("kestrel", "hanbit")
 
@@ -80,7 +80,7 @@
         platform = self._world.platform
         digest = bundle_hash(body)
         platform.bodies[digest] = body
-        approval = approve(digest, self._name, "bo", KEY)
+        approval = approve(digest, self._name, "bo", APPROVER_KEY)
         key = approval_key(digest, "bo")
         if key not in platform.table.rows:
             change = ChangeId(f"approve.{digest}")
@@ -138,7 +138,7 @@
 
     def _next(self, body: bytes, former: RollRow | None) -> RollRow:
         self._changes += 1
-        now_wall_s = WALL_S + self._world.clock.now_s
+        now_wall_s = START_WALL_S + self._world.clock.now_s
         return RollRow(
             scope=SCOPE,
             version=Version(former.version + 1 if former else 1),
--- a/packages/ochreway-standins/src/ochreway_standins/soak/run.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/run.py
@@ -20,13 +20,13 @@
 FAULTS_FROM_S = 12.0
 FAULTS_UNTIL_S = 36.0
 HEAL_AT_S = 50.0
-LATE_FROM_S = 59.0
-ASK_UNTIL_S = 65.0
-PROGRESS_WITHIN_S = 25.0
-TABLE_CHECK_S = 0.5
-ASK_EVERY_S = 0.12
-PAIRS = (1, 4)
-LATE_ANSWERED_SHARE_AT_LEAST = 0.5
+RECOVERED_FROM_S = 59.0
+REQUESTS_UNTIL_S = 65.0
+RECOVERY_TIMEOUT_S = 25.0
+TABLE_CHECK_INTERVAL_S = 0.5
+MEAN_REQUEST_INTERVAL_S = 0.12
+FAULT_PAIRS = (1, 4)
+MIN_LATE_ANSWERED_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,18 +57,21 @@
         self.truth = Truth(self.world, self.callers)
         self.faults = Faults(self.world, self.callers, self.truth)
         self._kinds = kinds or list(FAULTS)
-        self._pairs = pairs if pairs is not None else self.world.random.randint(*PAIRS)
+        self._pairs = pairs if pairs is not None else self.world.random.randint(*FAULT_PAIRS)
 
     def go(self) -> RunResult:
         """Run to the end and return what it showed."""
         world, clock = self.world, self.world.clock
-        self.truth.watch()
+        self.truth.attach()
         clock.at(ROLL_AT_S, self._first_roll)
-        clock.at(FAULTS_FROM_S, partial(self.callers.ask_until, ASK_UNTIL_S, ASK_EVERY_S))
+        clock.at(
+            FAULTS_FROM_S,
+            partial(self.callers.ask_until, REQUESTS_UNTIL_S, MEAN_REQUEST_INTERVAL_S),
+        )
         self.faults.draw(self._kinds, self._pairs, FAULTS_FROM_S, FAULTS_UNTIL_S)
-        clock.at(TABLE_CHECK_S, self._check_table)
+        clock.at(TABLE_CHECK_INTERVAL_S, self._check_table)
         clock.at(HEAL_AT_S, self._heal)
-        clock.run_until(HEAL_AT_S + PROGRESS_WITHIN_S)
+        clock.run_until(HEAL_AT_S + RECOVERY_TIMEOUT_S)
         self.truth.check_answers()
         self._check_progress()
         return self._result(world)
@@ -93,13 +96,13 @@
 
     def _check_table(self) -> None:
         self.truth.check_table()
-        self.world.clock.after(TABLE_CHECK_S, self._check_table)
+        self.world.clock.after(TABLE_CHECK_INTERVAL_S, self._check_table)
 
     def _heal(self) -> None:
         self.world.platform.mode = Mode.UP
         self.faults.halls.want()
         self.world.network.heal_all()
-        self.world.hand_over_pause = lambda: 0.0
+        self.world.next_hand_over_pause_s = lambda: 0.0
         self.world.around_hand_over = lambda node, moment: None
         for process in self.world.processes.values():
             if process.paused:
@@ -118,17 +121,17 @@
         for key in rows:
             group = key.rpartition("/")[2]
             agent = leaders.get(group)  # type: ignore[call-overload]
-            closed = self._closed(agent)
+            closed = self._closed_reason(agent)
             if closed is not Reason.NONE:
-                self._no_progress(f"{group} does not serve: {closed.value}")
-        wanted = 2 + 1
-        if len(rows) < wanted:
-            self._no_progress(f"{len(rows)} groups, fewer than {wanted}")
+                self._report_no_progress(f"{group} does not serve: {closed.value}")
+        min_groups = 2 + 1
+        if len(rows) < min_groups:
+            self._report_no_progress(f"{len(rows)} groups, fewer than {min_groups}")
         self._check_requests_ended()
         self._check_versions()
         self._check_halls()
 
-    def _closed(self, agent: AgentNode | None) -> Reason:
+    def _closed_reason(self, agent: AgentNode | None) -> Reason:
         if agent is None:
             return Reason.NO_GROUP
         process = self.world.processes[agent.me.node]
@@ -136,13 +139,18 @@
 
     def _check_requests_ended(self) -> None:
         for asked in self.callers.unanswered():
-            self._no_progress(f"{asked.request.request} has not ended")
-        late = [each for each in self.callers.asked.values() if each.asked_s > LATE_FROM_S]
+            self._report_no_progress(f"{asked.request.request} has not ended")
+        late_requests = [
+            each for each in self.callers.asked.values() if each.asked_s > RECOVERED_FROM_S
+        ]
         answered = sum(
-            each.finish is not None and each.finish.outcome is Outcome.ANSWERED for each in late
+            each.finish is not None and each.finish.outcome is Outcome.ANSWERED
+            for each in late_requests
         )
-        if answered < len(late) * LATE_ANSWERED_SHARE_AT_LEAST:
-            self._no_progress(f"only {answered} of {len(late)} answered after the faults")
+        if answered < len(late_requests) * MIN_LATE_ANSWERED_SHARE:
+            self._report_no_progress(
+                f"only {answered} of {len(late_requests)} answered after the faults"
+            )
 
     def _check_versions(self) -> None:
         alive = [each for each in self.world.processes.values() if each.running]
@@ -150,14 +158,14 @@
         versions = {each.node.version for each in named}
         if len(versions) != 1:
             shown = ", ".join(f"{each.peer.node}={each.node.version}" for each in named)
-            self._no_progress(f"versions differ: {shown}")
+            self._report_no_progress(f"versions differ: {shown}")
 
     def _check_halls(self) -> None:
         """Check that every entry knows that all halls were given back."""
         for process in self.world.entries():
             node = process.node
             if process.running and isinstance(node, EntryNode) and node.drains.halls:
-                self._no_progress(
+                self._report_no_progress(
                     f"{process.peer.node} takes {sorted(node.drains.halls)} for drained"
                 )
 
@@ -167,7 +175,7 @@
         named = {"entry": self.world.shape.entries, "engine": 6, "service": 1}
         return int(index) < named[kind]
 
-    def _no_progress(self, detail: str) -> None:
+    def _report_no_progress(self, detail: str) -> None:
         self.truth.violations.append(f"progress: {detail}")
 
 
--- a/packages/ochreway-standins/src/ochreway_standins/soak/simtarget.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/simtarget.py
@@ -54,7 +54,7 @@
     epoch: int = 0
     artifact: str = ""
     loaded_s: float = 1.0e9
-    life: int = 0
+    incarnation: int = 0
     broken: bool = False
     back_s: float = 0.0
     busy_until_s: float = 0.0
@@ -81,7 +81,7 @@
 
     def crash(self) -> None:
         """Lose everything."""
-        self.life += 1
+        self.incarnation += 1
         self.epoch, self.artifact, self.loaded_s = 0, "", 1.0e9
         self.running.clear()
         self.busy_until_s, self.leaving, self.limit_per_s = 0.0, False, None
@@ -120,29 +120,29 @@
         if self.broken and self.random.random() < 0.5:
             self.clock.after(0.01, lambda: on_failed(attempt, True, False))
             return
-        self.running[attempt] = self.life
+        self.running[attempt] = self.incarnation
         if submit.body.startswith(FATAL):
             self._run_fatal(attempt, on_failed)
         else:
             self._piece(submit, 0, on_chunk, on_failed)
 
     def _run_fatal(self, attempt: AttemptId, on_failed: OnFailed) -> None:
-        life = self.life
+        incarnation = self.incarnation
 
         def ends() -> None:
-            if self.running.get(attempt) == life == self.life:
+            if self.running.get(attempt) == incarnation == self.incarnation:
                 self.end()
-            on_failed(attempt, True, self.life != life)
+            on_failed(attempt, True, self.incarnation != incarnation)
 
         self.clock.after(self.random.uniform(*PIECE_S), ends)
 
     def _piece(self, submit: Submit, index: int, on_chunk: OnChunk, on_failed: OnFailed) -> None:
-        attempt, life = submit.attempt, self.life
+        attempt, incarnation = submit.attempt, self.incarnation
         pieces = submit.max_tokens
 
         def give() -> None:
-            if self.running.get(attempt) != life or self.life != life:
-                on_failed(attempt, True, self.life != life)
+            if self.running.get(attempt) != incarnation or self.incarnation != incarnation:
+                on_failed(attempt, True, self.incarnation != incarnation)
                 return
             payload = f"{submit.request}/{index};".encode()
             last = index + 1 >= pieces
--- a/packages/ochreway-standins/src/ochreway_standins/soak/truth.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/truth.py
@@ -21,17 +21,17 @@
 from ochreway_standins.soak.simtarget import expected_answer
 from ochreway_standins.soak.world import World, hall_of
 
-AGENT_LEAVE_S = 2.0
-TICKS_S = 0.5
-LIST_LAG_MOST_S = 6.0
-LIST_LEAVE_S = LIST_LAG_MOST_S + 4.0
+AGENT_LEAVE_GRACE_S = 2.0
+CHECK_SLACK_S = 0.5
+MAX_LIST_LAG_S = 6.0
+LIST_LEAVE_GRACE_S = MAX_LIST_LAG_S + 4.0
 
 
 @dataclass(frozen=True, slots=True)
-class ToldLeaving:
+class LeavingNotice:
     """Hold which life of a target said that it leaves, and from when on it gets nothing new."""
 
-    life: int
+    incarnation: int
     from_s: float
 
 
@@ -43,7 +43,7 @@
     callers: Callers
     violations: list[str] = field(default_factory=list)
     quiet_from_s: dict[NodeId, float] = field(default_factory=dict)
-    told_leaving: dict[NodeId, ToldLeaving] = field(default_factory=dict)
+    leaving_notices: dict[NodeId, LeavingNotice] = field(default_factory=dict)
     halls: HallTruth = field(init=False)
     crashes: CrashTruth = field(init=False)
     backoffs: BackoffTruth = field(default_factory=BackoffTruth)
@@ -54,15 +54,15 @@
         self.halls = HallTruth(self.world)
         self.crashes = CrashTruth(self.world)
 
-    def watch(self) -> None:
+    def attach(self) -> None:
         """Look on from now on."""
         self.world.on_hand_over = self._on_hand_over
-        self.world.on_applied = self._on_applied
-        self.world.on_arrival = self._on_arrival
+        self.world.on_version_applied = self._on_applied
+        self.world.on_target_contact = self._on_arrival
         self.world.on_notice = self._on_notice
-        invariants.set_reporter(self._reported)
+        invariants.set_reporter(self._on_invariant_report)
 
-    def _reported(self, invariant: Invariant, detail: str) -> None:
+    def _on_invariant_report(self, invariant: Invariant, detail: str) -> None:
         self.violate(invariant, f"asserted inside: {detail}")
 
     def violate(self, invariant: Invariant, detail: str) -> None:
@@ -81,14 +81,14 @@
         if notice.backoff_s is not None:
             self.backoffs.turned_away(process, notice.backoff_s, now_s)
         if notice.leaving:
-            self._told_leaving(process.peer.node, now_s)
+            self._record_leaving_notice(process.peer.node, now_s)
 
-    def _told_leaving(self, node: NodeId, now_s: float) -> None:
+    def _record_leaving_notice(self, node: NodeId, now_s: float) -> None:
         """Note that a target said of itself that it leaves; another life of it does not."""
-        life = self.world.targets[node].life
-        known = self.told_leaving.get(node)
-        if known is None or known.life != life:
-            self.told_leaving[node] = ToldLeaving(life, now_s + AGENT_LEAVE_S)
+        incarnation = self.world.targets[node].incarnation
+        previous = self.leaving_notices.get(node)
+        if previous is None or previous.incarnation != incarnation:
+            self.leaving_notices[node] = LeavingNotice(incarnation, now_s + AGENT_LEAVE_GRACE_S)
 
     def _on_hand_over(self, process: Process, order: HandOver) -> None:
         node = process.node
@@ -115,31 +115,37 @@
             return
         agent = member.node
         assert isinstance(agent, AgentNode)
-        held = agent.membership.grant.epoch
+        granted_epoch = agent.membership.grant.epoch
         restarted = now_s - member.born_s < ttl_s
-        if restarted and held in (NO_EPOCH, row.epoch):
+        if restarted and granted_epoch in (NO_EPOCH, row.epoch):
             # It has forgotten what it granted, and grants nothing to anyone else yet.
             return
         if not agent.membership.grant.is_fresh(row.epoch, member.local_s(now_s)):
-            detail = f"{row.group}@{row.epoch}: {node} grants epoch {held}"
-            other = held != row.epoch
+            detail = f"{row.group}@{row.epoch}: {node} grants epoch {granted_epoch}"
+            other = granted_epoch != row.epoch
             self.violate(Invariant.ONE_GROUP if other else Invariant.GROUP_COMPLETE, detail)
 
     def _check_quiet(self, leader: Process, row: GroupRow, node: NodeId) -> None:
         quiet_s = self._quiet_from_s(node)
         if quiet_s is None:
             return
-        if not self._can_tell(node, leader.peer.node):
+        if not self._can_notify_leader(node, leader.peer.node):
             # Then only the lapse of its grant tells the leader.
-            quiet_s += self.world.shape.timing.grant_ttl_s - AGENT_LEAVE_S + TICKS_S
+            quiet_s += self.world.shape.timing.grant_ttl_s - AGENT_LEAVE_GRACE_S + CHECK_SLACK_S
         if self.world.clock.now_s > quiet_s:
             self.violate(Invariant.LEAVING_QUIET, f"{row.group}: {node} is leaving")
 
     def _quiet_from_s(self, node: NodeId) -> float | None:
         """Return from when on an instance gets nothing new, if it leaves or its target does."""
-        told = self.told_leaving.get(node)
-        holds = told is not None and told.life == self.world.targets[node].life
-        times_s = [self.quiet_from_s.get(node), told.from_s if told and holds else None]
+        leaving_notice = self.leaving_notices.get(node)
+        is_current = (
+            leaving_notice is not None
+            and leaving_notice.incarnation == self.world.targets[node].incarnation
+        )
+        times_s = [
+            self.quiet_from_s.get(node),
+            leaving_notice.from_s if leaving_notice and is_current else None,
+        ]
         return min((each for each in times_s if each is not None), default=None)
 
     def _check_drained(self, order: HandOver, row: GroupRow, node: NodeId) -> None:
@@ -151,11 +157,11 @@
         self.halls.look()
         entry = order.submit.attempt.entry
         known_s = self.halls.known_for_s(entry, hall_of(node), asked.asked_s)
-        if known_s > self.world.shape.timing.hall_drain_s + TICKS_S:
+        if known_s > self.world.shape.timing.hall_drain_s + CHECK_SLACK_S:
             detail = f"{row.group}: {node} stands in a hall drained for {known_s:.1f} s at {entry}"
             self.violate(Invariant.DRAINED_QUIET, detail)
 
-    def _can_tell(self, node: NodeId, leader: NodeId) -> bool:
+    def _can_notify_leader(self, node: NodeId, leader: NodeId) -> bool:
         network = self.world.network
         cut = network.is_cut(node, leader) or network.is_cut(leader, node)
         return self.world.processes[node].running and not cut
@@ -190,36 +196,40 @@
 
     def check_answers(self) -> None:
         """Check every request's outcome against what the targets ran."""
-        runs: dict[str, int] = {}
+        run_counts: dict[str, int] = {}
         for execution in self.world.executions:
-            runs[execution.request] = runs.get(execution.request, 0) + 1
-        by_key: dict[str, int] = {}
+            run_counts[execution.request] = run_counts.get(execution.request, 0) + 1
+        run_counts_by_key: dict[str, int] = {}
         for asked in self.callers.asked.values():
             request = asked.request
-            ran = runs.get(request.request, 0)
+            run_count = run_counts.get(request.request, 0)
             if asked.finishes > 1:
                 self.violate(Invariant.WHOLE_ANSWER, f"{request.request} ended twice")
             if asked.finish is not None:
                 self._check_outcome(
-                    asked.finish.outcome, asked.answer, request.request, ran, request.max_tokens
+                    asked.finish.outcome,
+                    asked.answer,
+                    request.request,
+                    run_count,
+                    request.max_tokens,
                 )
             if not request.repeatable:
                 name = str(request.key or request.request)
-                by_key[name] = by_key.get(name, 0) + ran
-        for name, ran in by_key.items():
-            if ran > 1:
-                self.violate(Invariant.AT_MOST_ONCE, f"{name} ran {ran} times")
+                run_counts_by_key[name] = run_counts_by_key.get(name, 0) + run_count
+        for name, run_count in run_counts_by_key.items():
+            if run_count > 1:
+                self.violate(Invariant.AT_MOST_ONCE, f"{name} ran {run_count} times")
 
     def _check_outcome(
-        self, outcome: Outcome, answer: bytearray, request: str, ran: int, pieces: int
+        self, outcome: Outcome, answer: bytearray, request: str, run_count: int, pieces: int
     ) -> None:
         expected = expected_answer(request, pieces)
         if outcome is Outcome.ANSWERED and bytes(answer) != expected:
             self.violate(Invariant.WHOLE_ANSWER, f"{request} was given {bytes(answer)[:60]!r}")
         if not expected.startswith(bytes(answer)):
             self.violate(Invariant.WHOLE_ANSWER, f"{request} was given a stray piece")
-        if outcome is Outcome.NOT_RUN and ran:
-            self.violate(Invariant.NOT_RUN_TRUE, f"{request} ran {ran} times")
+        if outcome is Outcome.NOT_RUN and run_count:
+            self.violate(Invariant.NOT_RUN_TRUE, f"{request} ran {run_count} times")
 
 
-__all__ = ["AGENT_LEAVE_S", "LIST_LEAVE_S", "Truth"]
+__all__ = ["AGENT_LEAVE_GRACE_S", "LIST_LEAVE_GRACE_S", "Truth"]
--- a/packages/ochreway-standins/src/ochreway_standins/soak/world.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/world.py
@@ -38,17 +38,17 @@
 from ochreway_standins.soak.simplatform import SimPlatform
 from ochreway_standins.soak.simtarget import Execution, SimTarget
 
-KEY = Ed25519PrivateKey.from_private_bytes(bytes(range(32)))
-KEYS = {"bo": KEY.public_key()}
+APPROVER_KEY = Ed25519PrivateKey.from_private_bytes(bytes(range(32)))
+APPROVER_KEYS = {"bo": APPROVER_KEY.public_key()}
 HALL = HallId("h1")
 OTHER_HALL = HallId("h2")
-IN_OTHER_HALL = frozenset({"engine-1", "engine-4", "service-0"})
+OTHER_HALL_NODES = frozenset({"engine-1", "engine-4", "service-0"})
 """One of each replica's first members, so that a drain concerns every group."""
 DOMAIN = DomainId("d1")
 SCOPE = ScopeId("main")
-CLOCK_DRIFT = 0.002
-STATE_POLL_S = 0.5
-WALL_S = 1.0e9
+MAX_CLOCK_DRIFT = 0.002
+STATE_POLL_INTERVAL_S = 0.5
+START_WALL_S = 1.0e9
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,15 +82,15 @@
         self.executions: list[Execution] = []
         self.counters: dict[str, int] = {}
         self.trace: list[str] = []
-        self.hand_over_pause: Callable[[], float] = lambda: 0.0
+        self.next_hand_over_pause_s: Callable[[], float] = lambda: 0.0
         self.around_hand_over: Callable[[NodeId, str], None] = lambda node, moment: None
         self.on_hand_over: Callable[[Process, HandOver], None] = lambda process, order: None
         self.on_deliver: Callable[[Process, Deliver], None] = lambda process, effect: None
         self.on_finish: Callable[[Process, Finish], None] = lambda process, effect: None
-        self.on_applied: Callable[[Process], None] = lambda process: None
-        self.on_arrival: Callable[[Process], None] = lambda process: None
+        self.on_version_applied: Callable[[Process], None] = lambda process: None
+        self.on_target_contact: Callable[[Process], None] = lambda process: None
         self.on_notice: Callable[[Process, TargetNotice], None] = lambda process, notice: None
-        self._runners: dict[type, Callable[[Process, Any], None]] = {
+        self._effect_handlers: dict[type, Callable[[Process, Any], None]] = {
             Send: self._send,
             HandOver: self._hand_over,
             CancelWork: self._cancel_work,
@@ -115,37 +115,39 @@
     def boot(self, node: NodeId) -> None:
         """Start a process, anew if it was there before, and list it."""
         rng = self.random
-        entry = node.startswith("entry")
+        is_entry = node.startswith("entry")
         peer = Peer(node, f"{node}:1")
-        drift = 1.0 + rng.uniform(-CLOCK_DRIFT, CLOCK_DRIFT)
+        drift = 1.0 + rng.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
         offset_s = rng.uniform(0.0, 1.0e6)
         local_s = offset_s + self.clock.now_s * drift
         incarnation = Incarnation(rng.getrandbits(32))
-        made: AgentNode | EntryNode
-        if entry:
-            made = self._entry(peer, incarnation, local_s)
+        new_node: AgentNode | EntryNode
+        if is_entry:
+            new_node = self._create_entry_node(peer, incarnation, local_s)
         else:
-            wall_s = WALL_S + self.clock.now_s
-            made = AgentNode(peer, incarnation, self.shape.timing, KEYS, local_s, wall_s)
+            wall_s = START_WALL_S + self.clock.now_s
+            new_node = AgentNode(
+                peer, incarnation, self.shape.timing, APPROVER_KEYS, local_s, wall_s
+            )
             self._boot_target(node)
-        process = Process(peer, made, self.clock.now_s, offset_s, drift)
+        process = Process(peer, new_node, self.clock.now_s, offset_s, drift)
         self.processes[node] = process
-        kind = InstanceKind.ENTRY if entry else InstanceKind.TARGET
+        kind = InstanceKind.ENTRY if is_entry else InstanceKind.TARGET
         self.platform.listed[node] = ListedInstance(node, peer.address, kind, hall_of(node), DOMAIN)
         self.clock.after(rng.random() * self.shape.timing.tick_s, partial(self._tick, process))
-        if entry:
+        if is_entry:
             self._poll_list(process)
         else:
             self._poll_target(process)
 
-    def _entry(self, peer: Peer, incarnation: Incarnation, local_s: float) -> EntryNode:
+    def _create_entry_node(self, peer: Peer, incarnation: Incarnation, local_s: float) -> EntryNode:
         return EntryNode(
             peer,
             incarnation,
             HALL,
             SCOPE,
             self.shape.timing,
-            KEYS,
+            APPROVER_KEYS,
             random.Random(self.random.getrandbits(32)),
             local_s,
             repair_policy=self.shape.repair_policy,
@@ -157,9 +159,9 @@
             self.targets[node].crash()
             return
         kind = TargetKind.SERVICE if node.startswith("service") else TargetKind.MODEL
-        checks = int(node.rpartition("-")[2]) % 2 == 0
+        checks_orders = int(node.rpartition("-")[2]) % 2 == 0
         self.targets[node] = SimTarget(
-            self.clock, self.random, self.shape.load_s, kind, checks, self.executions
+            self.clock, self.random, self.shape.load_s, kind, checks_orders, self.executions
         )
 
     def kill(self, node: NodeId, whole_instance: bool) -> None:
@@ -210,9 +212,9 @@
         before = process.node.version
         event(process.local_s(self.clock.now_s))
         if process.node.version != before:
-            self.on_applied(process)
+            self.on_version_applied(process)
         for effect in process.node.take():
-            self._runners[type(effect)](process, effect)
+            self._effect_handlers[type(effect)](process, effect)
 
     def _tick(self, process: Process) -> None:
         if not process.alive:
@@ -238,15 +240,15 @@
         node, target = process.node, self.targets[process.peer.node]
         assert isinstance(node, AgentNode)
         if not process.paused:
-            self._ask_target(process, node, target)
-        self.clock.after(STATE_POLL_S, partial(self._poll_target, process))
+            self._poll_target_state(process, node, target)
+        self.clock.after(STATE_POLL_INTERVAL_S, partial(self._poll_target, process))
 
-    def _ask_target(self, process: Process, node: AgentNode, target: SimTarget) -> None:
+    def _poll_target_state(self, process: Process, node: AgentNode, target: SimTarget) -> None:
         seen_s = process.local_s(self.clock.now_s)
         if not node.may_poll(seen_s):
             down = target.down
             self.post(process, lambda now_s: node.on_target_process_state(down, now_s))
-        elif not target.down and self._reach(process, target):
+        elif not target.down and self._deliver_to_target(process, target):
             state = TargetState(
                 target.epoch,  # type: ignore[arg-type]
                 target.artifact,
@@ -256,11 +258,13 @@
             )
             self.post(process, lambda _: node.on_target_state(state))
 
-    def _reach(self, process: Process, target: SimTarget, to_request: bool = False) -> bool:
+    def _deliver_to_target(
+        self, process: Process, target: SimTarget, to_request: bool = False
+    ) -> bool:
         """Have something reach a target; return whether it is taken, not turned away."""
         node, notice = process.node, target.notice
         assert isinstance(node, AgentNode)
-        self.on_arrival(process)
+        self.on_target_contact(process)
         if notice != NO_NOTICE:
             self.on_notice(process, notice)
         if notice != NO_NOTICE or (to_request and node.has_limit):
@@ -289,7 +293,7 @@
         self.network.send(sender.node, target, deliver)
 
     def _hand_over(self, process: Process, effect: HandOver) -> None:
-        pause_s = self.hand_over_pause()
+        pause_s = self.next_hand_over_pause_s()
         if pause_s:
             self.pause(process.peer.node)
             self.clock.after(pause_s, partial(self.wake, process.peer.node))
@@ -306,7 +310,7 @@
             return
         self.on_hand_over(process, order)
         target = self.targets[process.peer.node]
-        if not target.down and not self._reach(process, target, to_request=True):
+        if not target.down and not self._deliver_to_target(process, target, to_request=True):
             self.post(process, lambda now_s: node.on_turned_away(attempt, now_s))
             return
         target.run(
@@ -328,7 +332,11 @@
 
         def order(now_s: float) -> None:
             target = self.targets[process.peer.node]
-            if node.may_order(effect, now_s) and not target.down and self._reach(process, target):
+            if (
+                node.may_order(effect, now_s)
+                and not target.down
+                and self._deliver_to_target(process, target)
+            ):
                 target.order(effect.order)
 
         self.post(process, order)
@@ -381,7 +389,7 @@
 
 def hall_of(node: NodeId) -> HallId:
     """Return the hall that an instance stands in."""
-    return OTHER_HALL if node in IN_OTHER_HALL else HALL
+    return OTHER_HALL if node in OTHER_HALL_NODES else HALL
 
 
 def _link_down(process: Process, node: NodeId, now_s: float) -> None:
@@ -389,4 +397,14 @@
         process.node.on_link_down(node, now_s)
 
 
-__all__ = ["DOMAIN", "HALL", "KEY", "OTHER_HALL", "SCOPE", "WALL_S", "Shape", "World", "hall_of"]
+__all__ = [
+    "DOMAIN",
+    "HALL",
+    "APPROVER_KEY",
+    "OTHER_HALL",
+    "SCOPE",
+    "START_WALL_S",
+    "Shape",
+    "World",
+    "hall_of",
+]
--- a/packages/ochreway-standins/src/ochreway_standins/timings.py
+++ b/packages/ochreway-standins/src/ochreway_standins/timings.py
@@ -78,7 +78,7 @@
     faults = Faults(world, callers, Truth(world, callers))
     last = [0.0]
     callers.ask_until(ROLL_AT_S + 20.0, 0.02)
-    node = faults.some_leader()
+    node = faults.pick_leader()
     leaving = world.processes[node]
 
     def handed_over(process: Process, order: HandOver) -> None:
--- a/tests/nodes/test_halldrain.py
+++ b/tests/nodes/test_halldrain.py
@@ -171,7 +171,7 @@
             if process is not cut_off:
                 table_read(process, effect)
 
-        self.world._runners[TableRead] = read_unless_cut_off
+        self.world._effect_handlers[TableRead] = read_unless_cut_off
         self.halls.want(OTHER_HALL)
         self.run_until(DRAIN_S + 10.0)
         self.assertEqual({1}, {node.drains.newest.version for _, node in self.entries()})
