--- a/packages/ochreway-standins/src/ochreway_standins/soak/faults.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/faults.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The faults of a run, drawn at random from a registry."""
+"""Registry of the faults that runs inject, drawn at random."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -30,19 +30,19 @@
 FAULTS: dict[str, Fault] = {}
 STOP_POLL_INTERVAL_S = 0.2
 FATAL_TRIES = 40
-"""How often a request comes that ends its targets: for some 20 s."""
+"""Number of times that a fatal request is sent: enough for some 20 s."""
 MAIN_HALL_SHARE = 0.2
-"""How often the hall is drained that most instances are in; few can then stand in for them."""
+"""Share of drains of the hall that holds most instances; few can then replace them."""
 HALL_DRAIN_DURATION_S = (2.0, 14.0)
 REQUESTED_BACKOFF_S = (0.6, 4.0)
-"""For how long a busy target asks to be left alone: once, or several times while it is."""
+"""Backoff that a busy target requests; it may request it once or several times."""
 LIMITS_PER_S = (0.3, 3.0)
 LIMIT_DURATION_S = (4.0, 12.0)
-"""For how long a limit is named: some seconds longer than it may take until it is kept."""
+"""How long a target names a limit: some seconds more than the limit may take to be kept."""
 LEADER_BUSY_SHARE = 0.7
 STOP_TIMEOUT_S = 14.0
 REPLACEMENT_DELAY_S = (0.2, 3.0)
-"""Short enough that every fault has ended when progress is judged."""
+"""Short enough that every fault has ended when progress is checked."""
 
 
 def fault(name: str) -> Callable[[Fault], Fault]:
@@ -56,7 +56,7 @@
 
 
 class Faults:
-    """Bring faults about in one world, and undo what lasts at the end."""
+    """Inject faults into one world and end each after its duration."""
 
     def __init__(self, world: World, callers: Callers, truth: Truth) -> None:
         self.world = world
@@ -68,7 +68,7 @@
         self.accepted: list[tuple[int, float]] = []
 
     def draw(self, kinds: list[str], pairs: int, begin_s: float, end_s: float) -> None:
-        """Draw pairs of faults that happen at about the same moment."""
+        """Schedule pairs of random faults that occur at about the same time."""
         rng = self.world.random
         for _ in range(pairs):
             when_s = rng.uniform(begin_s, end_s)
@@ -82,15 +82,15 @@
         FAULTS[kind](self)
 
     def draw_duration_s(self, min_s: float = 0.3, max_s: float = 8.0) -> float:
-        """Draw how long a fault lasts."""
+        """Draw the duration of a fault."""
         return self.world.random.uniform(min_s, max_s)
 
     def pick_process(self, processes: list[Process]) -> NodeId:
-        """Draw a process."""
+        """Draw a process at random."""
         return self.world.random.choice(processes).peer.node
 
     def pick_leader(self) -> NodeId:
-        """Draw a group's leader, or any agent when there is none."""
+        """Draw the leader of a group, or any agent if no group has a leader."""
         leaders = [
             each
             for each in self.world.agents()
@@ -104,7 +104,7 @@
         whole_instance: bool,
         replacement_delay_s: tuple[float, float] = (0.2, 10.0),
     ) -> None:
-        """Kill a process; it is replaced after a while."""
+        """Kill a process and start its replacement after a delay."""
         if not self.world.processes[node].alive:
             return
         self.world.kill(node, whole_instance)
@@ -117,12 +117,12 @@
         )
 
     def pause(self, node: NodeId) -> None:
-        """Freeze a process for a while."""
+        """Freeze a process for a random time."""
         self.world.pause(node)
         self.world.clock.after(self.draw_duration_s(), partial(self.world.wake, node))
 
     def cut(self, one: NodeId, other: NodeId, both_ways: bool) -> None:
-        """Cut a link for a while."""
+        """Cut a link for a random time."""
         network = self.world.network
         directions = [(one, other), (other, one)] if both_ways else [(one, other)]
         duration_s = self.draw_duration_s()
@@ -131,7 +131,7 @@
             self.world.clock.after(duration_s, partial(network.heal, *direction))
 
     def fail_platform(self, mode: Mode, duration_s: float) -> None:
-        """Make the platform fail for a while."""
+        """Make the platform fail for a given time."""
         self.world.platform.mode = mode
         self.world.clock.after(duration_s, self._platform_up)
 
@@ -139,7 +139,7 @@
         self.world.platform.mode = Mode.UP
 
     def roll(self, name: str) -> None:
-        """Have an operator roll a bundle, sometimes with another model version."""
+        """Have an operator roll a bundle; every third one has a new model version."""
         self.rolls += 1
         artifact = self.rolls // 3
         services = self.world.random.randint(1, self.world.shape.services)
@@ -152,7 +152,7 @@
             self.accepted.append((version, self.world.clock.now_s))
 
     def stop_agent(self, node: NodeId) -> None:
-        """Stop an agent as planned; it ends when it says that it cuts nothing."""
+        """Stop an agent as planned; it exits when it reports that this cuts no work."""
         process = self.world.processes[node]
         agent = process.node
         if not process.alive or not isinstance(agent, AgentNode):
@@ -191,7 +191,7 @@
         leader = self.world.processes[row.leader.node]
         assert isinstance(leader.node, AgentNode)
         led = leader.node.membership.row
-        # A standby serves nothing, so its end cuts nothing.
+        # A standby serves nothing, so its exit cuts no work.
         same = leader.alive and led is not None and led.epoch == row.epoch and led.has_member(node)
         if same and self.world.targets[row.leader.node].running:
             self.truth.violate(Invariant.STOP_CUTS_NOTHING, f"{node} left {row.group} early")
@@ -216,7 +216,7 @@
             self.world.clock.after(STOP_POLL_INTERVAL_S, partial(self._poll_entry_stop, process))
 
     def list_leaving(self, node: NodeId) -> None:
-        """Have only the platform's list say that an instance is leaving; it goes later."""
+        """Mark an instance as leaving in the platform's list alone; replace it later."""
         platform = self.world.platform
         process = self.world.processes[node]
         if not process.alive:
@@ -226,7 +226,7 @@
         self.world.clock.after(LIST_LEAVE_GRACE_S + 3.0, partial(self.replace, process))
 
     def replace(self, process: Process) -> None:
-        """Have an instance go, and another come in its place."""
+        """Kill an instance and start another one in its place, unless this has happened."""
         if process.alive and self.world.processes[process.peer.node] is process:
             self.kill(process.peer.node, True, REPLACEMENT_DELAY_S)
 
@@ -252,7 +252,7 @@
 
 
 def _regroup_at_holder(faults: Faults, regroup: Regroup) -> None:
-    """Have the lease's holder make a change to two of its groups that no plan would."""
+    """Have the lease holder commit a change to two of its groups that no plan would make."""
     for process in faults.world.entries():
         node = process.node
         if not process.running or not isinstance(node, EntryNode):
@@ -268,7 +268,7 @@
 
 @fault("regroup")
 def _regroup(faults: Faults) -> None:
-    """Have the controller move members between groups that serve."""
+    """Have the controller move members between serving groups."""
     _regroup_at_holder(faults, _mix_members)
 
 
@@ -280,7 +280,7 @@
 
 @fault("take_restarted")
 def _take_restarted(faults: Faults) -> None:
-    """Restart a member and give it to another group, while its old leader is out of reach."""
+    """Restart a member and move it to another group while its old leader is unreachable."""
     _regroup_at_holder(faults, _take_member)
 
 
@@ -431,7 +431,7 @@
 
 @fault("target_busy")
 def _target_busy(faults: Faults) -> None:
-    """Have a target turn away requests, questions and orders, and name a time each time."""
+    """Have a target refuse requests, polls and orders, and request a backoff each time."""
     rng = faults.world.random
     hits_leader = rng.random() < LEADER_BUSY_SHARE
     node = faults.pick_leader() if hits_leader else faults.pick_process(faults.world.agents())
@@ -442,7 +442,7 @@
 
 @fault("target_limited")
 def _target_limited(faults: Faults) -> None:
-    """Have a target name a limit for a while, in each of its answers."""
+    """Have a target name a rate limit in each of its answers for a while."""
     rng = faults.world.random
     hits_leader = rng.random() < LEADER_BUSY_SHARE
     node = faults.pick_leader() if hits_leader else faults.pick_process(faults.world.agents())
@@ -457,7 +457,7 @@
 
 @fault("target_leaves")
 def _target_leaves(faults: Faults) -> None:
-    """Have a target say in its answers alone that it leaves; it goes later."""
+    """Have a target announce its leaving in its answers alone; replace it later."""
     process = faults.world.processes[faults.pick_process(faults.world.agents())]
     if not process.alive:
         return
@@ -472,7 +472,7 @@
 
 @fault("fatal_request")
 def _fatal_request(faults: Faults) -> None:
-    """Have a request come again and again that ends whatever runs it."""
+    """Send a request repeatedly that ends every target that runs it."""
     service = faults.world.random.random() < 0.5
     faults.callers.ask_fatal(FATAL + str(faults.count).encode(), service, FATAL_TRIES)
 
@@ -512,7 +512,7 @@
 
 @fault("drain_hall")
 def _drain_hall(faults: Faults) -> None:
-    """Drain a hall for a while; another drain meanwhile goes on in its place."""
+    """Drain a hall for a while; a later drain takes the place of this one."""
     hall = HALL if faults.world.random.random() < MAIN_HALL_SHARE else OTHER_HALL
     faults.halls.want(hall)
     duration_s = faults.draw_duration_s(*HALL_DRAIN_DURATION_S)
--- a/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/guards.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Each invariant's proof with its guard patched out: it must fail then, and only then.
+"""Check that each invariant is violated when its guard is disabled, and only then.
 
-The daemons carry no switch that turns a guard off; the patches are made here.
+The daemons have no switch that disables a guard, so it is patched out here.
 """
 
 import contextlib
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Guard:
-    """Pair a way to take a guard out with the faults that must then do harm."""
+    """How to disable a guard, and the faults that must then violate its invariants."""
 
     name: str
     invariants: tuple[str, ...]
@@ -53,7 +53,7 @@
     patch: Patch
     pairs: int = 5
     seed_factor: int = 1
-    """How many times as many seeds, for harm that takes a rare meeting of faults."""
+    """Multiplies the number of seeds, for violations that need a rare combination of faults."""
 
 
 def guard(
@@ -63,7 +63,7 @@
     pairs: int = 5,
     seed_factor: int = 1,
 ) -> Callable[[Patch], Patch]:
-    """Register a guard's removal."""
+    """Register the patch that disables a guard."""
 
     def register(patch: Patch) -> Patch:
         GUARDS[name] = Guard(name, invariants, faults, patch, pairs, seed_factor)
@@ -245,7 +245,7 @@
     reverted_views: list[View] = []
 
     def apply(view: View, snapshot: Any, now_s: float) -> Any:
-        # Each view falls back once at most: two that always did would never come to rest.
+        # Each view reverts at most once: two views that always did would never converge.
         if view not in reverted_views and 0 < snapshot.roll.version < view.version:
             reverted_views.append(view)
             view.snapshot = None
@@ -255,7 +255,7 @@
 
 
 def violations_of(proof: tuple[str, int, bool]) -> int:
-    """Run one seed of a guard's proof and count the violations of its invariants."""
+    """Run one seed of a guard's check and count the violations of its invariants."""
     name, seed, removed = proof
     chosen = GUARDS[name]
     with _without_guard(chosen) if removed else contextlib.nullcontext():
@@ -276,7 +276,7 @@
 @click.option("--jobs", default=4, show_default=True)
 @click.option("--only", default="", help="Name of one guard.")
 def main(seed: int, runs: int, jobs: int, only: str) -> None:
-    """Fail unless every proof fails without its guard and passes with it."""
+    """Fail unless each guard's check sees violations without the guard and none with it."""
     names = [only] if only else list(GUARDS)
     failed_names = []
     with multiprocessing.get_context("fork").Pool(jobs) as pool:
--- a/packages/ochreway-standins/src/ochreway_standins/soak/run.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/run.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One run: set up, faults, healing, and the checks of safety and progress."""
+"""One run: setup, faults, recovery, and the checks of safety and progress."""
 
 import hashlib
 from dataclasses import dataclass
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """Hold what a run showed."""
+    """Result of a run."""
 
     seed: int
     faults: int
@@ -42,7 +42,7 @@
 
 
 class Run:
-    """Build a world from a seed, let it run, and judge it."""
+    """Build a world from a seed, run it and check it."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         self._pairs = pairs if pairs is not None else self.world.random.randint(*FAULT_PAIRS)
 
     def go(self) -> RunResult:
-        """Run to the end and return what it showed."""
+        """Run to the end and return the result."""
         world, clock = self.world, self.world.clock
         self.truth.attach()
         clock.at(ROLL_AT_S, self._first_roll)
@@ -161,16 +161,16 @@
             self._report_no_progress(f"versions differ: {shown}")
 
     def _check_halls(self) -> None:
-        """Check that every entry knows that all halls were given back."""
+        """Check that every entry knows that all halls have been restored."""
         for process in self.world.entries():
             node = process.node
             if process.running and isinstance(node, EntryNode) and node.drains.halls:
                 self._report_no_progress(
-                    f"{process.peer.node} takes {sorted(node.drains.halls)} for drained"
+                    f"{process.peer.node} still considers {sorted(node.drains.halls)} drained"
                 )
 
     def _is_named(self, node: str) -> bool:
-        """Leave out instances that the last bundle may not name."""
+        """Return whether every bundle names an instance: the last one may leave some out."""
         kind, _, index = node.partition("-")
         named = {"entry": self.world.shape.entries, "engine": 6, "service": 1}
         return int(index) < named[kind]
--- a/packages/ochreway-standins/src/ochreway_standins/soak/truth.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/truth.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The invariants, checked against what really happened in the world."""
+"""Checks of the invariants against what happened in the simulated world."""
 
 from dataclasses import dataclass, field
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeavingNotice:
-    """Hold which life of a target said that it leaves, and from when on it gets nothing new."""
+    """The incarnation of a target that announced its leaving, and when new work must stop."""
 
     incarnation: int
     from_s: float
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class Truth:
-    """Collect violations of one run."""
+    """Collect the violations of one run."""
 
     world: World
     callers: Callers
@@ -55,7 +55,7 @@
         self.crashes = CrashTruth(self.world)
 
     def attach(self) -> None:
-        """Look on from now on."""
+        """Install the hooks in the world and receive reports of invariants from the nodes."""
         self.world.on_hand_over = self._on_hand_over
         self.world.on_version_applied = self._on_applied
         self.world.on_target_contact = self._on_arrival
@@ -63,10 +63,10 @@
         invariants.set_reporter(self._on_invariant_report)
 
     def _on_invariant_report(self, invariant: Invariant, detail: str) -> None:
-        self.violate(invariant, f"asserted inside: {detail}")
+        self.violate(invariant, f"reported by a node: {detail}")
 
     def violate(self, invariant: Invariant, detail: str) -> None:
-        """Note a violation."""
+        """Record a violation."""
         self.violations.append(f"{self.world.clock.now_s:.3f} {invariant.value}: {detail}")
 
     def _on_arrival(self, process: Process) -> None:
@@ -84,7 +84,7 @@
             self._record_leaving_notice(process.peer.node, now_s)
 
     def _record_leaving_notice(self, node: NodeId, now_s: float) -> None:
-        """Note that a target said of itself that it leaves; another life of it does not."""
+        """Record that a target announced its leaving; it holds for this incarnation only."""
         incarnation = self.world.targets[node].incarnation
         previous = self.leaving_notices.get(node)
         if previous is None or previous.incarnation != incarnation:
@@ -118,7 +118,7 @@
         granted_epoch = agent.membership.grant.epoch
         restarted = now_s - member.born_s < ttl_s
         if restarted and granted_epoch in (NO_EPOCH, row.epoch):
-            # It has forgotten what it granted, and grants nothing to anyone else yet.
+            # After a restart it no longer knows its grants, and does not grant to others yet.
             return
         if not agent.membership.grant.is_fresh(row.epoch, member.local_s(now_s)):
             detail = f"{row.group}@{row.epoch}: {node} grants epoch {granted_epoch}"
@@ -130,13 +130,13 @@
         if quiet_s is None:
             return
         if not self._can_notify_leader(node, leader.peer.node):
-            # Then only the lapse of its grant tells the leader.
+            # The leader then learns of it only when the grant lapses.
             quiet_s += self.world.shape.timing.grant_ttl_s - AGENT_LEAVE_GRACE_S + CHECK_SLACK_S
         if self.world.clock.now_s > quiet_s:
             self.violate(Invariant.LEAVING_QUIET, f"{row.group}: {node} is leaving")
 
     def _quiet_from_s(self, node: NodeId) -> float | None:
-        """Return from when on an instance gets nothing new, if it leaves or its target does."""
+        """Return when an instance must stop getting new work, if it or its target is leaving."""
         leaving_notice = self.leaving_notices.get(node)
         is_current = (
             leaving_notice is not None
@@ -149,16 +149,16 @@
         return min((each for each in times_s if each is not None), default=None)
 
     def _check_drained(self, order: HandOver, row: GroupRow, node: NodeId) -> None:
-        """Check that no entry has sent a request where it has long known not to."""
+        """Check that no entry sends requests to a hall that it has long known to be drained."""
         asked = self.callers.asked.get(order.submit.request)
         if asked is None:
             return
-        # A word that has just come may have given the hall back.
+        # An update that has just arrived may have restored the hall.
         self.halls.look()
         entry = order.submit.attempt.entry
         known_s = self.halls.known_for_s(entry, hall_of(node), asked.asked_s)
         if known_s > self.world.shape.timing.hall_drain_s + CHECK_SLACK_S:
-            detail = f"{row.group}: {node} stands in a hall drained for {known_s:.1f} s at {entry}"
+            detail = f"{row.group}: {node} is in a hall drained for {known_s:.1f} s at {entry}"
             self.violate(Invariant.DRAINED_QUIET, detail)
 
     def _can_notify_leader(self, node: NodeId, leader: NodeId) -> bool:
@@ -170,11 +170,13 @@
         key = (process.peer.node, process.born_s)
         version = process.node.version
         if version < self._versions.get(key, 0):
-            self.violate(Invariant.VERSION_FORWARD, f"{process.peer.node} fell to {version}")
+            self.violate(
+                Invariant.VERSION_FORWARD, f"{process.peer.node} reverted to version {version}"
+            )
         self._versions[key] = version
 
     def check_table(self) -> None:
-        """Check that the table puts each instance into one group at most."""
+        """Check that the table assigns each instance to at most one group."""
         self.halls.look()
         self.crashes.look()
         groups: dict[str, str] = {}
@@ -195,7 +197,7 @@
                     self.violate(Invariant.ONE_GROUP, f"{instance.node}: rows disagree")
 
     def check_answers(self) -> None:
-        """Check every request's outcome against what the targets ran."""
+        """Check the outcome of every request against what the targets ran."""
         run_counts: dict[str, int] = {}
         for execution in self.world.executions:
             run_counts[execution.request] = run_counts.get(execution.request, 0) + 1
--- a/packages/ochreway-standins/src/ochreway_standins/soak/world.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/world.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The world of one run: processes, network, platform, targets, truth."""
+"""The simulated world of one run: processes, network, platform and targets."""
 
 import random
 from collections.abc import Callable
@@ -43,7 +43,7 @@
 HALL = HallId("h1")
 OTHER_HALL = HallId("h2")
 OTHER_HALL_NODES = frozenset({"engine-1", "engine-4", "service-0"})
-"""One of each replica's first members, so that a drain concerns every group."""
+"""Includes one of the first members of each replica, so that a drain affects every group."""
 DOMAIN = DomainId("d1")
 SCOPE = ScopeId("main")
 MAX_CLOCK_DRIFT = 0.002
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """Size a world."""
+    """Size and settings of a world."""
 
     entries: int = 3
     engines: int = 8
@@ -69,7 +69,7 @@
 
 
 class World:
-    """Run real nodes against small fakes, and remember what really happened."""
+    """Run real nodes against small fakes and record what happened."""
 
     def __init__(self, seed: int, shape: Shape) -> None:
         self.random = random.Random(seed)
@@ -113,7 +113,7 @@
     # Processes
 
     def boot(self, node: NodeId) -> None:
-        """Start a process, anew if it was there before, and list it."""
+        """Start or restart a process and add it to the platform's list."""
         rng = self.random
         is_entry = node.startswith("entry")
         peer = Peer(node, f"{node}:1")
@@ -165,7 +165,7 @@
         )
 
     def kill(self, node: NodeId, whole_instance: bool) -> None:
-        """End a process at once, with its target when the whole instance goes."""
+        """End a process at once, and its target too if the whole instance is lost."""
         process = self.processes[node]
         process.alive = False
         process.waiting.clear()
@@ -181,7 +181,7 @@
                 self.post(process, partial(_link_down, process, node))
 
     def pause(self, node: NodeId) -> None:
-        """Freeze a process; its links break when that lasts."""
+        """Freeze a process; its links are reset if the pause lasts."""
         process = self.processes[node]
         if not process.running:
             return
@@ -194,7 +194,7 @@
             self._all_links_down(process.peer.node)
 
     def wake(self, node: NodeId) -> None:
-        """Let a frozen process go on as if nothing had happened."""
+        """Resume a frozen process and deliver the events that it missed."""
         process = self.processes[node]
         process.paused = False
         process.silent_since_s = None
@@ -203,7 +203,7 @@
             self.post(process, event)
 
     def post(self, process: Process, event: Event) -> None:
-        """Give a process an event, now or when it wakes."""
+        """Deliver an event to a process, now or when it resumes; drop it if the process is dead."""
         if process.paused and process.alive:
             process.waiting.append(event)
             return
@@ -261,7 +261,7 @@
     def _deliver_to_target(
         self, process: Process, target: SimTarget, to_request: bool = False
     ) -> bool:
-        """Have something reach a target; return whether it is taken, not turned away."""
+        """Deliver something to a target; return whether the target accepts it."""
         node, notice = process.node, target.notice
         assert isinstance(node, AgentNode)
         self.on_target_contact(process)
@@ -376,7 +376,7 @@
         fields = " ".join(f"{key}={value}" for key, value in effect.fields.items())
         self.trace.append(f"{self.clock.now_s:.4f} {process.peer.node} {effect.event} {fields}")
 
-    # Views of the whole
+    # Queries
 
     def agents(self) -> list[Process]:
         """Return every agent's process."""
@@ -388,7 +388,7 @@
 
 
 def hall_of(node: NodeId) -> HallId:
-    """Return the hall that an instance stands in."""
+    """Return the hall that an instance is in."""
     return OTHER_HALL if node in OTHER_HALL_NODES else HALL
 
 
