--- a/packages/ochreway-cli/src/ochreway_cli/context.py
+++ b/packages/ochreway-cli/src/ochreway_cli/context.py
@@ -11,17 +11,17 @@
 import aiohttp
 import click
 
-from ochreway_cli.entries import Entries
+from ochreway_cli.entries import EntryClients
 from ochreway_cli.errors import CommandError
 from ochreway_cli.halls import Halls
-from ochreway_cli.porcelain import Porcelain
+from ochreway_cli.operations import Operations
 from ochreway_core.ids import ScopeId
 from ochreway_platform.httpobjectstore import HttpObjectStore
 from ochreway_platform.httptable import HttpTable
 from ochreway_platform.instancelist import HttpInstanceList
 
-TIMEOUT_S = 3.0
-WATCH_EVERY_S = 0.5
+PLATFORM_TIMEOUT_S = 3.0
+WATCH_INTERVAL_S = 0.5
 EXIT_NOT_COMPLETE = 9
 
 T = TypeVar("T")
@@ -43,50 +43,56 @@
         """Print content, as JSON or as text."""
         click.echo(json.dumps(content, sort_keys=True) if self.as_json else text)
 
-    def run(self, work: Callable[[Porcelain, Entries], Coroutine[None, None, T]]) -> T:
+    def run(self, operation: Callable[[Operations, EntryClients], Coroutine[None, None, T]]) -> T:
         """Run a coroutine with the platform and the entries at hand."""
         try:
-            return asyncio.run(self._run(work))
-        except CommandError as fault:
-            self.fail(fault)
+            return asyncio.run(self._run(operation))
+        except CommandError as error:
+            self.fail(error)
 
-    async def _run(self, work: Callable[[Porcelain, Entries], Coroutine[None, None, T]]) -> T:
+    async def _run(
+        self, operation: Callable[[Operations, EntryClients], Coroutine[None, None, T]]
+    ) -> T:
         async with aiohttp.ClientSession() as session:
-            table = HttpTable(session, self.platform_url, TIMEOUT_S)
-            objects = HttpObjectStore(session, self.platform_url, TIMEOUT_S)
-            porcelain = Porcelain(table, objects, ScopeId(self.scope))
-            return await work(porcelain, Entries(session, self.entries, self.operator_token))
-
-    def run_with_halls(self, work: Callable[[Halls, Entries], Coroutine[None, None, T]]) -> T:
+            table = HttpTable(session, self.platform_url, PLATFORM_TIMEOUT_S)
+            objects = HttpObjectStore(session, self.platform_url, PLATFORM_TIMEOUT_S)
+            operations = Operations(table, objects, ScopeId(self.scope))
+            return await operation(
+                operations, EntryClients(session, self.entries, self.operator_token)
+            )
+
+    def run_with_halls(
+        self, operation: Callable[[Halls, EntryClients], Coroutine[None, None, T]]
+    ) -> T:
         """Run a coroutine with the drained halls and the entries at hand."""
         try:
-            return asyncio.run(self._run_with_halls(work))
-        except CommandError as fault:
-            self.fail(fault)
+            return asyncio.run(self._run_with_halls(operation))
+        except CommandError as error:
+            self.fail(error)
 
     async def _run_with_halls(
-        self, work: Callable[[Halls, Entries], Coroutine[None, None, T]]
+        self, operation: Callable[[Halls, EntryClients], Coroutine[None, None, T]]
     ) -> T:
         async with aiohttp.ClientSession() as session:
-            table = HttpTable(session, self.platform_url, TIMEOUT_S)
-            instances = HttpInstanceList(session, self.platform_url, TIMEOUT_S)
+            table = HttpTable(session, self.platform_url, PLATFORM_TIMEOUT_S)
+            instances = HttpInstanceList(session, self.platform_url, PLATFORM_TIMEOUT_S)
             halls = Halls(table, instances, ScopeId(self.scope))
-            return await work(halls, Entries(session, self.entries, self.operator_token))
+            return await operation(halls, EntryClients(session, self.entries, self.operator_token))
 
-    def fail(self, fault: CommandError) -> NoReturn:
+    def fail(self, error: CommandError) -> NoReturn:
         """Print a fault and leave with its exit code."""
         if self.as_json:
-            click.echo(json.dumps({"error": type(fault).__name__, "message": str(fault)}))
+            click.echo(json.dumps({"error": type(error).__name__, "message": str(error)}))
         else:
-            click.echo(f"{type(fault).__name__}: {fault}", err=True)
-        sys.exit(fault.exit_code)
+            click.echo(f"{type(error).__name__}: {error}", err=True)
+        sys.exit(error.exit_code)
 
 
-def named(context: Context) -> str:
+def require_operator(context: Context) -> str:
     """Return the operator's name, which some commands need."""
     if not context.operator:
         raise click.UsageError("give your name with --operator or OCHREWAY_OPERATOR")
     return context.operator
 
 
-__all__ = ["EXIT_NOT_COMPLETE", "WATCH_EVERY_S", "Content", "Context", "named"]
+__all__ = ["EXIT_NOT_COMPLETE", "WATCH_INTERVAL_S", "Content", "Context", "require_operator"]
--- a/packages/ochreway-cli/src/ochreway_cli/entries.py
+++ b/packages/ochreway-cli/src/ochreway_cli/entries.py
@@ -9,10 +9,10 @@
 from ochreway_core.codec import encode
 from ochreway_core.view import Snapshot
 
-TIMEOUT = aiohttp.ClientTimeout(total=3.0)
+REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=3.0)
 
 
-class Entries:
+class EntryClients:
     """Speak to several entries at once; one that does not answer is left out."""
 
     def __init__(self, session: aiohttp.ClientSession, urls: tuple[str, ...], token: str) -> None:
@@ -22,8 +22,8 @@
 
     async def push(self, snapshot: Snapshot) -> int:
         """Push an accepted version; return how many entries took it."""
-        taken = await asyncio.gather(*(self._push(url, snapshot) for url in self._urls))
-        return sum(taken)
+        accepted = await asyncio.gather(*(self._push(url, snapshot) for url in self._urls))
+        return sum(accepted)
 
     async def _push(self, url: str, snapshot: Snapshot) -> bool:
         try:
@@ -31,7 +31,7 @@
                 f"{url}/operator/snapshot",
                 data=encode(snapshot),
                 headers=self._headers,
-                timeout=TIMEOUT,
+                timeout=REQUEST_TIMEOUT,
             ) as response:
                 return response.status == 202
         except (TimeoutError, aiohttp.ClientError, OSError):
@@ -39,13 +39,13 @@
 
     async def statuses(self) -> list[dict[str, Any]]:
         """Return the status of each entry that answers."""
-        found = await asyncio.gather(*(self._status(url) for url in self._urls))
-        return [status for status in found if status is not None]
+        answers = await asyncio.gather(*(self._status(url) for url in self._urls))
+        return [status for status in answers if status is not None]
 
     async def _status(self, url: str) -> dict[str, Any] | None:
         try:
             async with self._session.get(
-                f"{url}/operator/status", headers=self._headers, timeout=TIMEOUT
+                f"{url}/operator/status", headers=self._headers, timeout=REQUEST_TIMEOUT
             ) as response:
                 if response.status != 200:
                     return None
@@ -55,4 +55,4 @@
             return None
 
 
-__all__ = ["Entries"]
+__all__ = ["EntryClients"]
--- a/packages/ochreway-cli/src/ochreway_cli/halls.py
+++ b/packages/ochreway-cli/src/ochreway_cli/halls.py
@@ -31,8 +31,8 @@
     @property
     def empty(self) -> bool:
         """Tell whether every entry knows of the drain and nothing runs in the hall."""
-        told = self.entries > 0 and self.entries_told == self.entries
-        return told and not self.groups and not self.in_flight
+        all_informed = self.entries > 0 and self.entries_told == self.entries
+        return all_informed and not self.groups and not self.in_flight
 
 
 def hall_progress(hall: HallId, version: int, statuses: list[dict[str, Any]]) -> HallProgress:
@@ -44,9 +44,9 @@
     return HallProgress(
         hall=hall,
         version=version,
-        groups=max((each["groups"].get(hall, 0) for each in halls), default=0),
-        in_flight=max((each["in_flight"].get(hall, 0) for each in halls), default=0),
-        entries_told=sum(each["version"] >= version for each in halls),
+        groups=max((hall_status["groups"].get(hall, 0) for hall_status in halls), default=0),
+        in_flight=max((hall_status["in_flight"].get(hall, 0) for hall_status in halls), default=0),
+        entries_told=sum(hall_status["version"] >= version for hall_status in halls),
         entries=len(statuses),
     )
 
@@ -67,19 +67,19 @@
         """
         return (await self._read())[0]
 
-    async def known(self) -> list[HallId]:
+    async def listed_halls(self) -> list[HallId]:
         """Return the halls that listed instances are in.
 
         Raises:
             PlatformDown: when the list cannot be read.
         """
-        for left in reversed(range(settle.TRIES)):
+        for tries_left in reversed(range(settle.MAX_TRIES)):
             try:
-                return sorted({each.hall for each in await self._instances.read()})
-            except ListUnavailable as fault:
-                if not left:
-                    raise PlatformDown(f"the list of instances does not answer: {fault}") from fault
-                await asyncio.sleep(settle.PAUSE_S)
+                return sorted({instance.hall for instance in await self._instances.read()})
+            except ListUnavailable as error:
+                if not tries_left:
+                    raise PlatformDown(f"the list of instances does not answer: {error}") from error
+                await asyncio.sleep(settle.RETRY_DELAY_S)
         raise AssertionError
 
     async def drain(self, hall: HallId, operator: str) -> DrainedHalls:
@@ -90,13 +90,15 @@
             RaceLost: when another change came first.
             FateUnknown: when the table does not say.
         """
-        known = await self.known()
-        if hall not in known:
-            raise NotFound(f"no listed instance is in hall {hall!r}; halls: {', '.join(known)}")
-        standing, revision = await self._read()
-        if hall in standing.halls:
-            return standing
-        return await self._write(standing, revision, (*standing.halls, hall), operator)
+        listed_halls = await self.listed_halls()
+        if hall not in listed_halls:
+            raise NotFound(
+                f"no listed instance is in hall {hall!r}; halls: {', '.join(listed_halls)}"
+            )
+        current, revision = await self._read()
+        if hall in current.halls:
+            return current
+        return await self._write(current, revision, (*current.halls, hall), operator)
 
     async def restore(self, hall: HallId, operator: str) -> DrainedHalls:
         """Give a drained hall back, and return what is drained then.
@@ -106,14 +108,16 @@
             RaceLost: when another change came first.
             FateUnknown: when the table does not say.
         """
-        standing, revision = await self._read()
-        if hall not in standing.halls:
-            known = await self.known()
-            if hall not in known:
-                raise NotFound(f"hall {hall!r} is not known; halls: {', '.join(known)}")
-            return standing
-        left = tuple(each for each in standing.halls if each != hall)
-        return await self._write(standing, revision, left, operator)
+        current, revision = await self._read()
+        if hall not in current.halls:
+            listed_halls = await self.listed_halls()
+            if hall not in listed_halls:
+                raise NotFound(f"hall {hall!r} is not known; halls: {', '.join(listed_halls)}")
+            return current
+        remaining_halls = tuple(
+            drained_hall for drained_hall in current.halls if drained_hall != hall
+        )
+        return await self._write(current, revision, remaining_halls, operator)
 
     async def _read(self) -> tuple[DrainedHalls, int]:
         key = halls_key(self._scope)
@@ -123,32 +127,32 @@
         return decode(HallsRow, row.content).drained, row.revision
 
     async def _write(
-        self, standing: DrainedHalls, revision: int, halls: tuple[HallId, ...], operator: str
+        self, current: DrainedHalls, revision: int, halls: tuple[HallId, ...], operator: str
     ) -> DrainedHalls:
-        drained = DrainedHalls(standing.version + 1, tuple(sorted(halls)))
+        drained = DrainedHalls(current.version + 1, tuple(sorted(halls)))
         change = settle.new_change(operator)
         content = encode(HallsRow(self._scope, drained, operator, change))
         key = halls_key(self._scope)
-        record = halls_change_key(self._scope, drained.version)
+        record_key = halls_change_key(self._scope, drained.version)
         transaction = Transaction(
             change,
-            (Condition(key, revision), Condition(record, ABSENT)),
-            {key: content, record: content},
+            (Condition(key, revision), Condition(record_key, ABSENT)),
+            {key: content, record_key: content},
         )
         try:
-            await settle.commit(self._table, transaction, record)
-        except RaceLost as fault:
-            raise RaceLost(await self._who_won()) from fault
+            await settle.commit(self._table, transaction, record_key)
+        except RaceLost as error:
+            raise RaceLost(await self._describe_winner()) from error
         return drained
 
-    async def _who_won(self) -> str:
+    async def _describe_winner(self) -> str:
         key = halls_key(self._scope)
         row = (await settle.read(self._table, key)).get(key)
         if row is None:
             return "another change to the halls came first"
-        won = decode(HallsRow, row.content)
-        halls = ", ".join(won.drained.halls) or "none"
-        return f"a change of {won.operator} came first; drained now: {halls}"
+        winning_row = decode(HallsRow, row.content)
+        halls = ", ".join(winning_row.drained.halls) or "none"
+        return f"a change of {winning_row.operator} came first; drained now: {halls}"
 
 
 __all__ = ["HallProgress", "Halls", "hall_progress"]
--- a/packages/ochreway-cli/src/ochreway_cli/main.py
+++ b/packages/ochreway-cli/src/ochreway_cli/main.py
@@ -8,13 +8,19 @@
 
 import click
 
-from ochreway_cli.context import EXIT_NOT_COMPLETE, WATCH_EVERY_S, Content, Context, named
-from ochreway_cli.entries import Entries
+from ochreway_cli.context import (
+    EXIT_NOT_COMPLETE,
+    WATCH_INTERVAL_S,
+    Content,
+    Context,
+    require_operator,
+)
+from ochreway_cli.entries import EntryClients
 from ochreway_cli.errors import CommandError
 from ochreway_cli.explain import explain
 from ochreway_cli.hallcommands import hall
-from ochreway_cli.porcelain import Porcelain, check_bundle, load_key, new_keys
-from ochreway_cli.rollprogress import progress
+from ochreway_cli.operations import Operations, check_bundle, load_key, new_keys
+from ochreway_cli.rollprogress import roll_progress
 from ochreway_core.bundle import bundle_hash
 from ochreway_runtime.option import option
 
@@ -60,10 +66,10 @@
     body = path.read_bytes()
     try:
         checked = check_bundle(body)
-    except CommandError as fault:
-        lines = [f"{path}: {line}" for line in str(fault).splitlines()]
-        fault.args = ("\n".join(lines),)
-        context.fail(fault)
+    except CommandError as error:
+        lines = [f"{path}: {line}" for line in str(error).splitlines()]
+        error.args = ("\n".join(lines),)
+        context.fail(error)
     digest = bundle_hash(body)
     context.show({"bundle": digest, "name": checked.name}, f"{path}: good ({digest[:12]})")
 
@@ -73,8 +79,8 @@
 @click.pass_obj
 def bundle_submit(context: Context, path: Path) -> None:
     """Submit a bundle for sign-off by someone else."""
-    author = named(context)
-    row = context.run(lambda porcelain, _: porcelain.submit(path.read_bytes(), author))
+    author = require_operator(context)
+    row = context.run(lambda operations, _: operations.submit(path.read_bytes(), author))
     context.show({"bundle": row.bundle, "author": row.author}, f"{row.bundle} by {row.author}")
 
 
@@ -84,10 +90,10 @@
 def bundle_show(context: Context, digest: str) -> None:
     """Show a bundle, its author and who signed it off."""
 
-    async def work(porcelain: Porcelain, entries: Entries) -> Content:
-        row = await porcelain.bundle_row(digest)
-        approvals = await porcelain.approvals(row.bundle)
-        body = await porcelain.body(row.bundle)
+    async def load_bundle(operations: Operations, entries: EntryClients) -> Content:
+        row = await operations.bundle_row(digest)
+        approvals = await operations.approvals(row.bundle)
+        body = await operations.body(row.bundle)
         return {
             "bundle": row.bundle,
             "author": row.author,
@@ -95,7 +101,7 @@
             "body": body.decode(),
         }
 
-    shown = context.run(work)
+    shown = context.run(load_bundle)
     approvers = ", ".join(shown["approvers"]) or "nobody"
     text = f"# {shown['bundle']}\n# author {shown['author']}, signed off by {approvers}\n"
     context.show(shown, text + shown["body"])
@@ -113,12 +119,12 @@
 @click.pass_obj
 def bundle_approve(context: Context, digest: str, key_file: Path) -> None:
     """Sign off a bundle that someone else wrote."""
-    approver = named(context)
+    approver = require_operator(context)
     try:
         key = load_key(key_file)
-    except CommandError as fault:
-        context.fail(fault)
-    approval = context.run(lambda porcelain, _: porcelain.approve(digest, approver, key))
+    except CommandError as error:
+        context.fail(error)
+    approval = context.run(lambda operations, _: operations.approve(digest, approver, key))
     context.show(
         {"bundle": approval.bundle, "approver": approver}, f"{approval.bundle} by {approver}"
     )
@@ -128,7 +134,7 @@
 @click.pass_obj
 def bundle_list(context: Context) -> None:
     """List the submitted bundles, newest last."""
-    rows = context.run(lambda porcelain, _: porcelain.bundles())
+    rows = context.run(lambda operations, _: operations.bundles())
     content = [dataclasses.asdict(row) for row in rows]
     text = "\n".join(f"{row.bundle[:12]} {row.name} by {row.author}" for row in rows)
     context.show({"bundles": content}, text or "none")
@@ -145,24 +151,26 @@
 @click.pass_obj
 def roll_start(context: Context, digest: str, seen: int | None) -> None:
     """Put a signed-off bundle in force as the next version."""
-    operator = named(context)
+    operator = require_operator(context)
 
-    async def work(porcelain: Porcelain, entries: Entries) -> Content:
-        snapshot = await porcelain.roll(digest, operator, seen)
+    async def start_roll(operations: Operations, entries: EntryClients) -> Content:
+        snapshot = await operations.roll(digest, operator, seen)
         pushed = await entries.push(snapshot)
         return {"version": snapshot.roll.version, "bundle": snapshot.roll.bundle, "pushed": pushed}
 
-    done = context.run(work)
-    context.show(done, f"version {done['version']} accepted, pushed to {done['pushed']} entries")
+    result = context.run(start_roll)
+    context.show(
+        result, f"version {result['version']} accepted, pushed to {result['pushed']} entries"
+    )
 
 
-async def _progress(porcelain: Porcelain, entries: Entries) -> Content:
-    head = await porcelain.head()
+async def _load_progress(operations: Operations, entries: EntryClients) -> Content:
+    head = await operations.head()
     if head is None:
         return {"version": 0, "complete": False}
-    wanted = check_bundle(await porcelain.body(head.bundle))
-    found = progress(wanted, head.version, await entries.statuses())
-    return {**dataclasses.asdict(found), "complete": found.complete}
+    head_bundle = check_bundle(await operations.body(head.bundle))
+    current_progress = roll_progress(head_bundle, head.version, await entries.statuses())
+    return {**dataclasses.asdict(current_progress), "complete": current_progress.complete}
 
 
 def _progress_text(shown: Content) -> str:
@@ -173,7 +181,7 @@
 @click.pass_obj
 def roll_status(context: Context) -> None:
     """Show how far the accepted version has come."""
-    shown = context.run(_progress)
+    shown = context.run(_load_progress)
     context.show(shown, _progress_text(shown))
     sys.exit(0 if shown["complete"] else EXIT_NOT_COMPLETE)
 
@@ -184,18 +192,18 @@
 def roll_watch(context: Context, timeout_s: float) -> None:
     """Watch until every group serves the accepted version."""
     end_s = time.monotonic() + timeout_s
-    last = ""
+    last_text = ""
     while True:
-        shown = context.run(_progress)
+        shown = context.run(_load_progress)
         text = _progress_text(shown)
-        if text != last:
+        if text != last_text:
             context.show(shown, text)
-            last = text
+            last_text = text
         if shown["complete"]:
             return
         if time.monotonic() >= end_s:
             sys.exit(EXIT_NOT_COMPLETE)
-        time.sleep(WATCH_EVERY_S)
+        time.sleep(WATCH_INTERVAL_S)
 
 
 @main.command()
@@ -203,10 +211,10 @@
 def status(context: Context) -> None:
     """Show groups, why members are not ready, stranded instances and versions in force."""
 
-    async def work(porcelain: Porcelain, entries: Entries) -> Content:
+    async def load_statuses(operations: Operations, entries: EntryClients) -> Content:
         return {"entries": await entries.statuses()}
 
-    shown = context.run(work)
+    shown = context.run(load_statuses)
     context.show(shown, _status_text(shown["entries"]))
 
 
@@ -232,8 +240,8 @@
         f" draining={group['draining']} epoch={group['epoch']} down_s={group['down_s']}"
     ]
     for member in group["members"]:
-        why = member["why_not_ready"] or "ready"
-        lines.append(f"    member={member['node']} version={member['version']} state={why!r}")
+        state = member["why_not_ready"] or "ready"
+        lines.append(f"    member={member['node']} version={member['version']} state={state!r}")
     return lines
 
 
@@ -249,7 +257,7 @@
 @click.pass_obj
 def keys_new(context: Context, out: Path | None) -> None:
     """Make a key pair; give the public half to the daemons as --operator-key."""
-    name = named(context)
+    name = require_operator(context)
     pair = new_keys()
     content: Content = {"operator_key": f"{name}={pair.public}"}
     if out is None:
--- a/packages/ochreway-cli/src/ochreway_cli/porcelain.py
+++ b/packages/ochreway-cli/src/ochreway_cli/operations.py
@@ -31,7 +31,7 @@
 from ochreway_platform.objectstore import ObjectStore
 from ochreway_platform.table import Table
 
-FORMER_KEPT_S = 300.0
+FORMER_KEEPERS_RETENTION_S = 300.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,11 +76,11 @@
     """
     try:
         return Ed25519PrivateKey.from_private_bytes(base64.b64decode(path.read_text().strip()))
-    except (OSError, ValueError) as fault:
-        raise CommandError(f"{path}: not a key of `ochreway keys new`: {fault}") from fault
+    except (OSError, ValueError) as error:
+        raise CommandError(f"{path}: not a key of `ochreway keys new`: {error}") from error
 
 
-class Porcelain:
+class Operations:
     """Do what operators ask against the platform's table and object store."""
 
     def __init__(self, table: Table, objects: ObjectStore, scope: ScopeId) -> None:
@@ -108,8 +108,8 @@
         digest = bundle_hash(body)
         try:
             await self._objects.put(f"bundles/{digest}", body)
-        except ObjectStoreUnavailable as fault:
-            raise PlatformDown(f"the object store does not answer: {fault}") from fault
+        except ObjectStoreUnavailable as error:
+            raise PlatformDown(f"the object store does not answer: {error}") from error
         key = bundle_key(digest)
         row = BundleRow(digest, author, bundle.name, time.time())
         transaction = Transaction(
@@ -141,16 +141,16 @@
         """
         try:
             return await self._objects.get(f"bundles/{digest}")
-        except ObjectMissing as fault:
-            raise NotFound(f"no body of {digest}") from fault
-        except ObjectStoreUnavailable as fault:
-            raise PlatformDown(f"the object store does not answer: {fault}") from fault
+        except ObjectMissing as error:
+            raise NotFound(f"no body of {digest}") from error
+        except ObjectStoreUnavailable as error:
+            raise PlatformDown(f"the object store does not answer: {error}") from error
 
     async def bundles(self) -> list[BundleRow]:
         """Return every submitted bundle, newest last."""
         rows = await settle.read(self._table, "bundle/")
-        found = [decode(BundleRow, row.content) for row in rows.values()]
-        return sorted(found, key=lambda row: row.submitted_wall_s)
+        bundle_rows = [decode(BundleRow, row.content) for row in rows.values()]
+        return sorted(bundle_rows, key=lambda row: row.submitted_wall_s)
 
     async def approvals(self, digest: str) -> list[Approval]:
         """Return the approvals of a bundle."""
@@ -167,13 +167,15 @@
         row = await self.bundle_row(digest)
         try:
             approval = approve(row.bundle, row.author, approver, key)
-        except SignatureInvalid as fault:
-            raise NotApproved(str(fault)) from fault
-        name = approval_key(row.bundle, approver)
+        except SignatureInvalid as error:
+            raise NotApproved(str(error)) from error
+        approval_row_key = approval_key(row.bundle, approver)
         transaction = Transaction(
-            settle.new_change(approver), (Condition(name, ABSENT),), {name: encode(approval)}
+            settle.new_change(approver),
+            (Condition(approval_row_key, ABSENT),),
+            {approval_row_key: encode(approval)},
         )
-        await settle.commit(self._table, transaction, name)
+        await settle.commit(self._table, transaction, approval_row_key)
         return approval
 
     async def head(self) -> RollRow | None:
@@ -206,14 +208,14 @@
         rows = await settle.read(self._table, head_key(self._scope))
         current = rows.get(head_key(self._scope))
         former = decode(RollRow, current.content) if current else None
-        standing = former.version if former else Version(0)
-        if seen is not None and seen != standing:
-            raise RaceLost(f"version {standing} is in force, not {seen}")
+        current_version = former.version if former else Version(0)
+        if seen is not None and seen != current_version:
+            raise RaceLost(f"version {current_version} is in force, not {seen}")
         roll = await self._next_roll(former, bundle, operator)
         try:
             await self._commit_roll(roll, current.revision if current else ABSENT)
-        except RaceLost as fault:
-            raise RaceLost(await self._who_won(roll)) from fault
+        except RaceLost as error:
+            raise RaceLost(await self._describe_winner(roll)) from error
         return make_snapshot(roll, body, tuple(approvals))
 
     async def _next_roll(self, former: RollRow | None, bundle: BundleRow, operator: str) -> RollRow:
@@ -236,25 +238,25 @@
         if former is None:
             return ()
         keepers = [key_keepers(check_bundle(await self.body(former.bundle)))]
-        if now_wall_s - former.accepted_wall_s < FORMER_KEPT_S:
+        if now_wall_s - former.accepted_wall_s < FORMER_KEEPERS_RETENTION_S:
             keepers += former.former
         return tuple(dict.fromkeys(keepers))
 
     async def _commit_roll(self, roll: RollRow, revision: int) -> None:
-        head, record = head_key(self._scope), roll_key(self._scope, roll.version)
+        head_row_key, record_key = head_key(self._scope), roll_key(self._scope, roll.version)
         content = encode(roll)
         transaction = Transaction(
             roll.change,
-            (Condition(head, revision), Condition(record, ABSENT)),
-            {head: content, record: content},
+            (Condition(head_row_key, revision), Condition(record_key, ABSENT)),
+            {head_row_key: content, record_key: content},
         )
-        await settle.commit(self._table, transaction, record)
+        await settle.commit(self._table, transaction, record_key)
 
-    async def _who_won(self, roll: RollRow) -> str:
+    async def _describe_winner(self, roll: RollRow) -> str:
         winner = await self.head()
         if winner is None:
             return "another roll came first"
         return f"version {winner.version} of {winner.operator} came first ({winner.bundle[:12]})"
 
 
-__all__ = ["KeyPair", "Porcelain", "check_bundle", "load_key", "new_keys"]
+__all__ = ["KeyPair", "Operations", "check_bundle", "load_key", "new_keys"]
--- a/packages/ochreway-cli/src/ochreway_cli/rollprogress.py
+++ b/packages/ochreway-cli/src/ochreway_cli/rollprogress.py
@@ -21,11 +21,11 @@
     @property
     def complete(self) -> bool:
         """Tell whether every group serves what is wanted and every entry knows the version."""
-        all_know = self.entries > 0 and self.entries_in_force == self.entries
-        return all_know and self.current == self.serving == self.wanted
+        all_informed = self.entries > 0 and self.entries_in_force == self.entries
+        return all_informed and self.current == self.serving == self.wanted
 
 
-def progress(bundle: Bundle, version: int, statuses: list[dict[str, Any]]) -> RollProgress:
+def roll_progress(bundle: Bundle, version: int, statuses: list[dict[str, Any]]) -> RollProgress:
     """Return the progress of a roll."""
     wanted = {
         replica: bundle.artifact(spec) for spec in bundle.group for replica in spec.replica_ids()
@@ -51,4 +51,4 @@
     )
 
 
-__all__ = ["RollProgress", "progress"]
+__all__ = ["RollProgress", "roll_progress"]
--- a/packages/ochreway-cli/src/ochreway_cli/settle.py
+++ b/packages/ochreway-cli/src/ochreway_cli/settle.py
@@ -11,8 +11,8 @@
 from ochreway_platform.errors import TableUnavailable
 from ochreway_platform.table import Table
 
-TRIES = 5
-PAUSE_S = 0.4
+MAX_TRIES = 5
+RETRY_DELAY_S = 0.4
 
 
 def new_change(operator: str) -> ChangeId:
@@ -26,17 +26,17 @@
     Raises:
         PlatformDown: when the table does not answer.
     """
-    fault = ""
-    for _ in range(TRIES):
+    error_message = ""
+    for _ in range(MAX_TRIES):
         try:
             return await table.read(prefixes)
         except TableUnavailable as unavailable:
-            fault = str(unavailable)
-            await asyncio.sleep(PAUSE_S)
-    raise PlatformDown(f"the table does not answer: {fault}")
+            error_message = str(unavailable)
+            await asyncio.sleep(RETRY_DELAY_S)
+    raise PlatformDown(f"the table does not answer: {error_message}")
 
 
-async def commit(table: Table, transaction: Transaction, witness: str) -> None:
+async def commit(table: Table, transaction: Transaction, witness_key: str) -> None:
     """Commit a transaction that creates the witness row.
 
     The witness is written once and never changed, so reading it back tells whose
@@ -47,25 +47,25 @@
         RaceLost: when another transaction came first.
         FateUnknown: when the table does not say what became of the transaction.
     """
-    content = transaction.writes[witness]
-    for _ in range(TRIES):
+    content = transaction.writes[witness_key]
+    for _ in range(MAX_TRIES):
         reply = await table.commit(transaction)
         if reply.status is CommitStatus.COMMITTED:
             return
-        found = await _witness(table, witness)
-        if found is not None and found.content == content:
+        witness_row = await _read_witness(table, witness_key)
+        if witness_row is not None and witness_row.content == content:
             return
-        if found is not None or reply.status is CommitStatus.CONFLICT:
+        if witness_row is not None or reply.status is CommitStatus.CONFLICT:
             raise RaceLost("another change came first")
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(RETRY_DELAY_S)
     raise FateUnknown("the table does not say what became of the change; look with status")
 
 
-async def _witness(table: Table, key: str) -> Row | None:
+async def _read_witness(table: Table, key: str) -> Row | None:
     try:
         return (await read(table, key)).get(key)
-    except PlatformDown as fault:
-        raise FateUnknown(f"the change may have landed: {fault}") from fault
+    except PlatformDown as error:
+        raise FateUnknown(f"the change may have landed: {error}") from error
 
 
 __all__ = ["commit", "new_change", "read"]
--- a/tests/cli/test_halls.py
+++ b/tests/cli/test_halls.py
@@ -14,7 +14,7 @@
 from ochreway_core.rows import HallsRow, halls_key
 from ochreway_core.table import CommitReply, Transaction
 from ochreway_platform.instancelist import MemoryInstanceList
-from tests.cli.test_porcelain import FlakyTable
+from tests.cli.test_operations import FlakyTable
 
 A, B = HallId("a"), HallId("b")
 
@@ -24,16 +24,16 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.before: list[Transaction] = []
-        self.withheld = False
+        self.competing: list[Transaction] = []
+        self.withhold_next = False
 
     async def commit(self, transaction: Transaction) -> CommitReply:
-        if self.withheld:
-            self.withheld = False
-            self.before.append(transaction)
+        if self.withhold_next:
+            self.withhold_next = False
+            self.competing.append(transaction)
             raise asyncio.CancelledError
-        if self.before:
-            self.commit_now(self.before.pop())
+        if self.competing:
+            self.commit_now(self.competing.pop())
         return await super().commit(transaction)
 
 
@@ -48,7 +48,7 @@
                 node, "x:1", InstanceKind.TARGET, hall, DomainId("d")
             )
         self.halls = Halls(self.table, self.instances, ScopeId("main"))
-        self.patch(settle, "PAUSE_S", 0.0)
+        self.patch(settle, "RETRY_DELAY_S", 0.0)
 
     def drain(self, hall: str) -> DrainedHalls:
         return asyncio.run(self.halls.drain(HallId(hall), "ann"))
@@ -66,15 +66,15 @@
         self.assertEqual(DrainedHalls(4, ()), self.restore("b"))
         self.assertEqual(DrainedHalls(4, ()), self.drained())
 
-    def test_what_is_so_already_is_not_written(self) -> None:
+    def test_a_change_without_effect_is_not_written(self) -> None:
         self.assertEqual(DrainedHalls(0, ()), self.restore("a"))
         self.drain("a")
         self.assertEqual(DrainedHalls(1, (A,)), self.drain("a"))
 
     def test_an_unknown_hall_is_an_error_that_names_those_there_are(self) -> None:
         for change in (self.drain, self.restore):
-            fault = self.assertRaises(NotFound, change, "c")
-            self.assertIn("halls: a, b", str(fault))
+            error = self.assertRaises(NotFound, change, "c")
+            self.assertIn("halls: a, b", str(error))
         self.assertEqual({}, self.table.read_now(("halls",)))
 
     def test_a_drained_hall_that_is_no_longer_listed_can_be_given_back(self) -> None:
@@ -89,15 +89,15 @@
             change = self.restore if self.drained().halls else self.drain
             self.assertEqual(before + 1, change("a").version)
 
-    def test_a_change_whose_fate_nobody_tells_is_said_to_be_unknown(self) -> None:
+    def test_a_change_with_unknown_outcome_raises_fate_unknown(self) -> None:
         self.table.losses = [False] * 20
         self.assertRaises(FateUnknown, self.drain, "a")
 
-    def test_of_two_operators_the_later_is_told_and_undoes_nothing(self) -> None:
-        self.table.withheld = True
+    def test_the_later_of_two_racing_changes_fails_and_undoes_nothing(self) -> None:
+        self.table.withhold_next = True
         self.assertRaises(asyncio.CancelledError, self.drain, "a")
-        fault = self.assertRaises(RaceLost, self.drain, "b")
-        self.assertIn("a change of ann came first; drained now: a", str(fault))
+        error = self.assertRaises(RaceLost, self.drain, "b")
+        self.assertIn("a change of ann came first; drained now: a", str(error))
         self.assertEqual((A,), self.drained().halls)
         self.assertEqual(DrainedHalls(2, (A, B)), self.drain("b"))
 
