--- a/packages/ochreway-cli/src/ochreway_cli/__init__.py
+++ b/packages/ochreway-cli/src/ochreway_cli/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The ochreway binary: the operator command."""
+"""The ``ochreway`` command for operators."""
--- a/packages/ochreway-cli/src/ochreway_cli/context.py
+++ b/packages/ochreway-cli/src/ochreway_cli/context.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The options that every command shares, and what it works with."""
+"""Options shared by all commands, and the clients that they use."""
 
 import asyncio
 import dataclasses
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Context:
-    """Hold the options that every command shares."""
+    """Options shared by all commands."""
 
     platform_url: str
     entries: tuple[str, ...]
@@ -44,7 +44,7 @@
         click.echo(json.dumps(content, sort_keys=True) if self.as_json else text)
 
     def run(self, operation: Callable[[Operations, EntryClients], Coroutine[None, None, T]]) -> T:
-        """Run a coroutine with the platform and the entries at hand."""
+        """Run a coroutine with clients of the platform and of the entries."""
         try:
             return asyncio.run(self._run(operation))
         except CommandError as error:
@@ -64,7 +64,7 @@
     def run_with_halls(
         self, operation: Callable[[Halls, EntryClients], Coroutine[None, None, T]]
     ) -> T:
-        """Run a coroutine with the drained halls and the entries at hand."""
+        """Run a coroutine with access to the drained halls and clients of the entries."""
         try:
             return asyncio.run(self._run_with_halls(operation))
         except CommandError as error:
@@ -80,7 +80,7 @@
             return await operation(halls, EntryClients(session, self.entries, self.operator_token))
 
     def fail(self, error: CommandError) -> NoReturn:
-        """Print a fault and leave with its exit code."""
+        """Print an error and exit with its exit code."""
         if self.as_json:
             click.echo(json.dumps({"error": type(error).__name__, "message": str(error)}))
         else:
@@ -89,7 +89,7 @@
 
 
 def require_operator(context: Context) -> str:
-    """Return the operator's name, which some commands need."""
+    """Return the operator's name; raise a usage error if it was not given."""
     if not context.operator:
         raise click.UsageError("give your name with --operator or OCHREWAY_OPERATOR")
     return context.operator
--- a/packages/ochreway-cli/src/ochreway_cli/entries.py
+++ b/packages/ochreway-cli/src/ochreway_cli/entries.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Calls to the entries that an operator knows."""
+"""HTTP calls to the entries named on the command line."""
 
 import asyncio
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class EntryClients:
-    """Speak to several entries at once; one that does not answer is left out."""
+    """Client of several entries; calls them concurrently and skips those that do not answer."""
 
     def __init__(self, session: aiohttp.ClientSession, urls: tuple[str, ...], token: str) -> None:
         self._session = session
@@ -21,7 +21,7 @@
         self._headers = {"Authorization": f"Bearer {token}"}
 
     async def push(self, snapshot: Snapshot) -> int:
-        """Push an accepted version; return how many entries took it."""
+        """Push an accepted version; return how many entries accepted it."""
         accepted = await asyncio.gather(*(self._push(url, snapshot) for url in self._urls))
         return sum(accepted)
 
--- a/packages/ochreway-cli/src/ochreway_cli/errors.py
+++ b/packages/ochreway-cli/src/ochreway_cli/errors.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Errors of the operators' command, each with its exit code."""
+"""Errors of the ``ochreway`` command, each with its exit code."""
 
 from ochreway_core.errors import OchrewayError
 
 
 class CommandError(OchrewayError):
-    """The command could not do what it was asked."""
+    """The command failed."""
 
     exit_code = 1
 
@@ -20,13 +20,13 @@
 
 
 class NotFound(CommandError):
-    """There is no such bundle or version."""
+    """There is no such bundle, version or hall."""
 
     exit_code = 4
 
 
 class RaceLost(CommandError):
-    """Another operator's change came first."""
+    """Another operator's change was committed first."""
 
     exit_code = 5
 
@@ -44,7 +44,7 @@
 
 
 class FateUnknown(CommandError):
-    """The platform took the change but never said what became of it."""
+    """The change was sent to the platform, but its outcome could not be determined."""
 
     exit_code = 8
 
--- a/packages/ochreway-cli/src/ochreway_cli/hallcommands.py
+++ b/packages/ochreway-cli/src/ochreway_cli/hallcommands.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The commands ``ochreway hall``."""
+"""The ``ochreway hall`` commands."""
 
 import dataclasses
 import sys
@@ -79,7 +79,7 @@
 def _wait_until_empty(
     context: Context, name: HallId, drained: DrainedHalls, timeout_s: float
 ) -> None:
-    """Show progress whenever it changes, and leave once nothing runs in the hall."""
+    """Show progress whenever it changes, until nothing runs in the hall or time runs out."""
     end_s = time.monotonic() + timeout_s
     last_shown: dict[str, Any] = {}
     while True:
--- a/packages/ochreway-cli/src/ochreway_cli/halls.py
+++ b/packages/ochreway-cli/src/ochreway_cli/halls.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Draining halls and giving them back, as operators ask for it."""
+"""Draining and restoring data halls."""
 
 import asyncio
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HallProgress:
-    """Count what still runs in a hall, as the entries that were asked know it."""
+    """What still runs in a hall, according to the queried entries."""
 
     hall: HallId
     version: int
@@ -30,15 +30,15 @@
 
     @property
     def empty(self) -> bool:
-        """Tell whether every entry knows of the drain and nothing runs in the hall."""
+        """Return whether every entry knows of the drain and nothing runs in the hall."""
         all_informed = self.entries > 0 and self.entries_told == self.entries
         return all_informed and not self.groups and not self.in_flight
 
 
 def hall_progress(hall: HallId, version: int, statuses: list[dict[str, Any]]) -> HallProgress:
-    """Return how far a hall's drain has come, by the entry that knows of most.
+    """Return the progress of a hall's drain, with the highest counts that any entry reports.
 
-    An entry that says nothing of halls, as older builds do, counts as one not told.
+    An entry whose status has no halls, such as one of an older build, counts as not informed.
     """
     halls = [status["halls"] for status in statuses if "halls" in status]
     return HallProgress(
@@ -52,7 +52,7 @@
 
 
 class Halls:
-    """Change the row that holds a scope's drained halls."""
+    """Reads and changes the row with the drained halls of a scope."""
 
     def __init__(self, table: Table, instances: InstanceList, scope: ScopeId) -> None:
         self._table = table
@@ -60,10 +60,10 @@
         self._scope = scope
 
     async def drained(self) -> DrainedHalls:
-        """Return the halls that are drained.
+        """Return the drained halls.
 
         Raises:
-            PlatformDown: when the table does not answer.
+            PlatformDown: if the table does not answer.
         """
         return (await self._read())[0]
 
@@ -71,7 +71,7 @@
         """Return the halls that listed instances are in.
 
         Raises:
-            PlatformDown: when the list cannot be read.
+            PlatformDown: if the instance list cannot be read.
         """
         for tries_left in reversed(range(settle.MAX_TRIES)):
             try:
@@ -83,12 +83,12 @@
         raise AssertionError
 
     async def drain(self, hall: HallId, operator: str) -> DrainedHalls:
-        """Drain a hall, and return what is drained then.
+        """Drain a hall and return the halls that are drained afterwards.
 
         Raises:
-            NotFound: when no listed instance is in such a hall.
-            RaceLost: when another change came first.
-            FateUnknown: when the table does not say.
+            NotFound: if no listed instance is in the hall.
+            RaceLost: if another change was committed first.
+            FateUnknown: if the outcome of the change cannot be determined.
         """
         listed_halls = await self.listed_halls()
         if hall not in listed_halls:
@@ -101,12 +101,12 @@
         return await self._write(current, revision, (*current.halls, hall), operator)
 
     async def restore(self, hall: HallId, operator: str) -> DrainedHalls:
-        """Give a drained hall back, and return what is drained then.
+        """Restore a drained hall and return the halls that are drained afterwards.
 
         Raises:
-            NotFound: when it is neither drained nor known.
-            RaceLost: when another change came first.
-            FateUnknown: when the table does not say.
+            NotFound: if the hall is neither drained nor the hall of a listed instance.
+            RaceLost: if another change was committed first.
+            FateUnknown: if the outcome of the change cannot be determined.
         """
         current, revision = await self._read()
         if hall not in current.halls:
--- a/packages/ochreway-cli/src/ochreway_cli/main.py
+++ b/packages/ochreway-cli/src/ochreway_cli/main.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The ochreway binary: the operators' command."""
+"""The ``ochreway`` command line."""
 
 import dataclasses
 import sys
--- a/packages/ochreway-cli/src/ochreway_cli/operations.py
+++ b/packages/ochreway-cli/src/ochreway_cli/operations.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What operators do, each as one call: check, submit, approve, roll, look."""
+"""Operations on bundles and versions: check, submit, approve, roll, show."""
 
 import base64
 import time
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyPair:
-    """Hold a new operator key, both halves as base64."""
+    """A new operator key pair, both keys encoded as base64."""
 
     private: str
     public: str
@@ -52,7 +52,7 @@
         The bundle.
 
     Raises:
-        BundleRefused: with a line for each fault.
+        BundleRefused: if the bundle is invalid, with one line per fault.
     """
     parsed = parse_bundle(body)
     if parsed.is_err():
@@ -72,7 +72,7 @@
     """Read a private key from a file.
 
     Raises:
-        CommandError: when the file is not such a key.
+        CommandError: if the file cannot be read or is not such a key.
     """
     try:
         return Ed25519PrivateKey.from_private_bytes(base64.b64decode(path.read_text().strip()))
@@ -81,7 +81,7 @@
 
 
 class Operations:
-    """Do what operators ask against the platform's table and object store."""
+    """Carries out operator requests on the platform's table and object store."""
 
     def __init__(self, table: Table, objects: ObjectStore, scope: ScopeId) -> None:
         self._table = table
@@ -93,14 +93,14 @@
 
         Args:
             body: the bundle's TOML.
-            author: who wrote it.
+            author: name of its author.
 
         Returns:
-            The bundle's row; an earlier one when the same was submitted before.
+            The bundle's row; the existing one if the same bundle was submitted before.
 
         Raises:
-            BundleRefused: when the bundle is not acceptable.
-            PlatformDown: when the platform does not answer.
+            BundleRefused: if the bundle is invalid or of another scope.
+            PlatformDown: if the platform does not answer.
         """
         bundle = check_bundle(body)
         if bundle.scope != self._scope:
@@ -122,10 +122,10 @@
         return row
 
     async def bundle_row(self, digest: str) -> BundleRow:
-        """Return a submitted bundle's row; a unique beginning of the hash will do.
+        """Return a submitted bundle's row, given its hash or a unique prefix of it.
 
         Raises:
-            NotFound: when no bundle, or more than one, begins so.
+            NotFound: if no bundle, or more than one, matches the prefix.
         """
         rows = await settle.read(self._table, bundle_key(digest))
         if len(rows) != 1:
@@ -136,8 +136,8 @@
         """Return a bundle's TOML.
 
         Raises:
-            NotFound: when the object store does not have it.
-            PlatformDown: when it does not answer.
+            NotFound: if the object store does not have it.
+            PlatformDown: if the object store does not answer.
         """
         try:
             return await self._objects.get(f"bundles/{digest}")
@@ -158,11 +158,11 @@
         return [decode(Approval, row.content) for row in rows.values()]
 
     async def approve(self, digest: str, approver: str, key: Ed25519PrivateKey) -> Approval:
-        """Sign a bundle off.
+        """Sign off a bundle.
 
         Raises:
-            NotApproved: when the approver is the author.
-            NotFound: when there is no such bundle.
+            NotApproved: if the approver is the author.
+            NotFound: if there is no such bundle.
         """
         row = await self.bundle_row(digest)
         try:
@@ -179,7 +179,7 @@
         return approval
 
     async def head(self) -> RollRow | None:
-        """Return the accepted version."""
+        """Return the accepted version, or None if there is none."""
         rows = await settle.read(self._table, head_key(self._scope))
         row = rows.get(head_key(self._scope))
         return decode(RollRow, row.content) if row else None
@@ -188,17 +188,17 @@
         """Accept a signed-off bundle as the next version.
 
         Args:
-            digest: the bundle's hash, or a unique beginning of it.
-            operator: who rolls it.
-            seen: the version the operator believes to be in force; None takes what is.
+            digest: the bundle's hash, or a unique prefix of it.
+            operator: name of the operator.
+            seen: the version the operator believes to be in force; None accepts any.
 
         Returns:
-            The accepted version with all that a process needs to apply it.
+            The accepted version with everything a process needs to apply it.
 
         Raises:
-            NotApproved: when nobody has signed it off.
-            RaceLost: when another version is or came in force; the message names it.
-            FateUnknown: when the table does not say.
+            NotApproved: if nobody has signed it off.
+            RaceLost: if another version is in force or was committed first; the message names it.
+            FateUnknown: if the outcome of the change cannot be determined.
         """
         bundle = await self.bundle_row(digest)
         approvals = await self.approvals(bundle.bundle)
--- a/packages/ochreway-cli/src/ochreway_cli/rollprogress.py
+++ b/packages/ochreway-cli/src/ochreway_cli/rollprogress.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How far a roll has come, from what the entries say."""
+"""Progress of a roll, computed from the statuses of the entries."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RollProgress:
-    """Count the groups that run what the accepted version wants."""
+    """How many groups run what the accepted version asks for, and how many entries know it."""
 
     version: int
     wanted: int
@@ -20,13 +20,13 @@
 
     @property
     def complete(self) -> bool:
-        """Tell whether every group serves what is wanted and every entry knows the version."""
+        """Return whether all groups serve the wanted artifact and all entries know the version."""
         all_informed = self.entries > 0 and self.entries_in_force == self.entries
         return all_informed and self.current == self.serving == self.wanted
 
 
 def roll_progress(bundle: Bundle, version: int, statuses: list[dict[str, Any]]) -> RollProgress:
-    """Return the progress of a roll."""
+    """Compute the progress of a roll from the statuses of the entries."""
     wanted = {
         replica: bundle.artifact(spec) for spec in bundle.group for replica in spec.replica_ids()
     }
--- a/packages/ochreway-cli/src/ochreway_cli/settle.py
+++ b/packages/ochreway-cli/src/ochreway_cli/settle.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Commits whose lost answers are settled by reading the change back."""
+"""Table commits that recover from lost replies by reading the change back."""
 
 import asyncio
 import secrets
@@ -16,15 +16,15 @@
 
 
 def new_change(operator: str) -> ChangeId:
-    """Return a change id that nobody else makes."""
+    """Return a new, unique change id."""
     return ChangeId(f"{operator}.{secrets.token_hex(12)}")
 
 
 async def read(table: Table, *prefixes: str) -> Mapping[str, Row]:
-    """Read rows, trying again a few times.
+    """Read rows, with up to ``MAX_TRIES`` tries.
 
     Raises:
-        PlatformDown: when the table does not answer.
+        PlatformDown: if the table does not answer.
     """
     error_message = ""
     for _ in range(MAX_TRIES):
@@ -39,13 +39,13 @@
 async def commit(table: Table, transaction: Transaction, witness_key: str) -> None:
     """Commit a transaction that creates the witness row.
 
-    The witness is written once and never changed, so reading it back tells whose
-    transaction created it. While it is absent, the same transaction may be sent again: its
-    condition that the witness be absent keeps it from landing twice.
+    The witness row is written once and never changed, so reading it back shows whose
+    transaction created it. While it is absent, the same transaction can safely be sent again:
+    its condition that the witness be absent prevents it from being applied twice.
 
     Raises:
-        RaceLost: when another transaction came first.
-        FateUnknown: when the table does not say what became of the transaction.
+        RaceLost: if another transaction was committed first.
+        FateUnknown: if the outcome of the transaction cannot be determined.
     """
     content = transaction.writes[witness_key]
     for _ in range(MAX_TRIES):
--- a/tests/cli/test_halls.py
+++ b/tests/cli/test_halls.py
@@ -20,7 +20,7 @@
 
 
 class RacedTable(FlakyTable):
-    """Let another operator's change land just before the next commit."""
+    """Commits another operator's withheld transaction just before the next commit."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/cli/test_operations.py
+++ b/tests/cli/test_operations.py
@@ -22,7 +22,7 @@
 
 
 class FlakyTable(MemoryTable):
-    """Lose answers as told: whether each commit lands before its answer is lost."""
+    """Loses commit replies; each item of ``losses`` says whether that commit is applied first."""
 
     def __init__(self) -> None:
         super().__init__()
