--- a/packages/ochreway-wire/src/ochreway_wire/batch.py
+++ b/packages/ochreway-wire/src/ochreway_wire/batch.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A batch: the messages of one tick, behind their sender's configuration version."""
+"""Batches: the messages of one tick, preceded by the sender's configuration version."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -12,19 +12,19 @@
 from ochreway_core.message import MESSAGES, TAGS
 from ochreway_wire.errors import BatchInvalid
 
-BATCH_BYTES_AT_MOST = 8 * 1024 * 1024
+MAX_BATCH_BYTES = 8 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Hold what one websocket message carries."""
+    """Content of one websocket message."""
 
     version: Version
     messages: tuple[object, ...]
 
 
-class Prepared:
-    """Hold a message that goes to several processes, whose fields are taken apart only once."""
+class PreparedMessage:
+    """Message for several processes, whose fields are encoded only once."""
 
     __slots__ = ("_fields", "_message")
 
@@ -36,41 +36,41 @@
     def fields(self) -> list[Any]:
         """Return the message's tag and plain fields."""
         if self._fields is None:
-            self._fields = _fields(self._message)
+            self._fields = _encode_fields(self._message)
         return self._fields
 
 
 def encode_batch(version: Version, messages: list[object]) -> bytes:
-    """Return a batch as CBOR; messages may be ``Prepared``."""
-    return cbor2.dumps([version, [_item(each) for each in messages]])
+    """Encode a batch as CBOR; messages may be instances of ``PreparedMessage``."""
+    return cbor2.dumps([version, [_encode_item(each) for each in messages]])
 
 
-def _item(message: object) -> list[Any]:
-    return message.fields if isinstance(message, Prepared) else _fields(message)
+def _encode_item(message: object) -> list[Any]:
+    return message.fields if isinstance(message, PreparedMessage) else _encode_fields(message)
 
 
-def _fields(message: object) -> list[Any]:
+def _encode_fields(message: object) -> list[Any]:
     return [TAGS[type(message)], *to_fields(message)]
 
 
 def decode_batch(content: bytes) -> Batch:
-    """Read a batch.
+    """Decode a batch.
 
     Raises:
-        BatchInvalid: when it is not CBOR, or a message is unknown or of the wrong shape.
+        BatchInvalid: if it is not CBOR, or a message has an unknown tag or invalid fields.
     """
     try:
         version, items = cbor2.loads(content)
-        return Batch(Version(int(version)), tuple(_message(item) for item in items))
-    except (cbor2.CBORDecodeError, CodecError, ValueError, TypeError, EOFError) as fault:
-        raise BatchInvalid(str(fault)) from fault
+        return Batch(Version(int(version)), tuple(_decode_message(item) for item in items))
+    except (cbor2.CBORDecodeError, CodecError, ValueError, TypeError, EOFError) as error:
+        raise BatchInvalid(str(error)) from error
 
 
-def _message(item: list[Any]) -> object:
-    kind = MESSAGES.get(item[0])
-    if kind is None:
-        raise BatchInvalid(f"unknown message {item[0]}")
-    return from_fields(kind, item[1:])
+def _decode_message(item: list[Any]) -> object:
+    message_type = MESSAGES.get(item[0])
+    if message_type is None:
+        raise BatchInvalid(f"unknown message tag {item[0]}")
+    return from_fields(message_type, item[1:])
 
 
-__all__ = ["BATCH_BYTES_AT_MOST", "Batch", "Prepared", "decode_batch", "encode_batch"]
+__all__ = ["MAX_BATCH_BYTES", "Batch", "PreparedMessage", "decode_batch", "encode_batch"]
