--- a/packages/ochreway-cli/src/ochreway_cli/context.py
+++ b/packages/ochreway-cli/src/ochreway_cli/context.py
@@ -14,7 +14,7 @@
 from ochreway_cli.entries import EntryClients
 from ochreway_cli.errors import CommandError
 from ochreway_cli.halls import Halls
-from ochreway_cli.operations import Operations
+from ochreway_cli.porcelain import Porcelain
 from ochreway_core.ids import ScopeId
 from ochreway_platform.httpobjectstore import HttpObjectStore
 from ochreway_platform.httptable import HttpTable
@@ -43,7 +43,7 @@
         """Print content, as JSON or as text."""
         click.echo(json.dumps(content, sort_keys=True) if self.as_json else text)
 
-    def run(self, operation: Callable[[Operations, EntryClients], Coroutine[None, None, T]]) -> T:
+    def run(self, operation: Callable[[Porcelain, EntryClients], Coroutine[None, None, T]]) -> T:
         """Run a coroutine with clients of the platform and of the entries."""
         try:
             return asyncio.run(self._run(operation))
@@ -51,14 +51,14 @@
             self.fail(error)
 
     async def _run(
-        self, operation: Callable[[Operations, EntryClients], Coroutine[None, None, T]]
+        self, operation: Callable[[Porcelain, EntryClients], Coroutine[None, None, T]]
     ) -> T:
         async with aiohttp.ClientSession() as session:
             table = HttpTable(session, self.platform_url, PLATFORM_TIMEOUT_S)
             objects = HttpObjectStore(session, self.platform_url, PLATFORM_TIMEOUT_S)
-            operations = Operations(table, objects, ScopeId(self.scope))
+            porcelain = Porcelain(table, objects, ScopeId(self.scope))
             return await operation(
-                operations, EntryClients(session, self.entries, self.operator_token)
+                porcelain, EntryClients(session, self.entries, self.operator_token)
             )
 
     def run_with_halls(
--- a/packages/ochreway-cli/src/ochreway_cli/main.py
+++ b/packages/ochreway-cli/src/ochreway_cli/main.py
@@ -19,7 +19,7 @@
 from ochreway_cli.errors import CommandError
 from ochreway_cli.explain import explain
 from ochreway_cli.hallcommands import hall
-from ochreway_cli.operations import Operations, check_bundle, load_key, new_keys
+from ochreway_cli.porcelain import Porcelain, check_bundle, load_key, new_keys
 from ochreway_cli.rollprogress import roll_progress
 from ochreway_core.bundle import bundle_hash
 from ochreway_runtime.option import option
@@ -80,7 +80,7 @@
 def bundle_submit(context: Context, path: Path) -> None:
     """Submit a bundle for sign-off by someone else."""
     author = require_operator(context)
-    row = context.run(lambda operations, _: operations.submit(path.read_bytes(), author))
+    row = context.run(lambda porcelain, _: porcelain.submit(path.read_bytes(), author))
     context.show({"bundle": row.bundle, "author": row.author}, f"{row.bundle} by {row.author}")
 
 
@@ -90,10 +90,10 @@
 def bundle_show(context: Context, digest: str) -> None:
     """Show a bundle, its author and who signed it off."""
 
-    async def load_bundle(operations: Operations, entries: EntryClients) -> Content:
-        row = await operations.bundle_row(digest)
-        approvals = await operations.approvals(row.bundle)
-        body = await operations.body(row.bundle)
+    async def load_bundle(porcelain: Porcelain, entries: EntryClients) -> Content:
+        row = await porcelain.bundle_row(digest)
+        approvals = await porcelain.approvals(row.bundle)
+        body = await porcelain.body(row.bundle)
         return {
             "bundle": row.bundle,
             "author": row.author,
@@ -124,7 +124,7 @@
         key = load_key(key_file)
     except CommandError as error:
         context.fail(error)
-    approval = context.run(lambda operations, _: operations.approve(digest, approver, key))
+    approval = context.run(lambda porcelain, _: porcelain.approve(digest, approver, key))
     context.show(
         {"bundle": approval.bundle, "approver": approver}, f"{approval.bundle} by {approver}"
     )
@@ -134,7 +134,7 @@
 @click.pass_obj
 def bundle_list(context: Context) -> None:
     """List the submitted bundles, newest last."""
-    rows = context.run(lambda operations, _: operations.bundles())
+    rows = context.run(lambda porcelain, _: porcelain.bundles())
     content = [dataclasses.asdict(row) for row in rows]
     text = "\n".join(f"{row.bundle[:12]} {row.name} by {row.author}" for row in rows)
     context.show({"bundles": content}, text or "none")
@@ -153,8 +153,8 @@
     """Put a signed-off bundle in force as the next version."""
     operator = require_operator(context)
 
-    async def start_roll(operations: Operations, entries: EntryClients) -> Content:
-        snapshot = await operations.roll(digest, operator, seen)
+    async def start_roll(porcelain: Porcelain, entries: EntryClients) -> Content:
+        snapshot = await porcelain.roll(digest, operator, seen)
         pushed = await entries.push(snapshot)
         return {"version": snapshot.roll.version, "bundle": snapshot.roll.bundle, "pushed": pushed}
 
@@ -164,11 +164,11 @@
     )
 
 
-async def _load_progress(operations: Operations, entries: EntryClients) -> Content:
-    head = await operations.head()
+async def _load_progress(porcelain: Porcelain, entries: EntryClients) -> Content:
+    head = await porcelain.head()
     if head is None:
         return {"version": 0, "complete": False}
-    head_bundle = check_bundle(await operations.body(head.bundle))
+    head_bundle = check_bundle(await porcelain.body(head.bundle))
     current_progress = roll_progress(head_bundle, head.version, await entries.statuses())
     return {**dataclasses.asdict(current_progress), "complete": current_progress.complete}
 
@@ -211,7 +211,7 @@
 def status(context: Context) -> None:
     """Show groups, why members are not ready, stranded instances and versions in force."""
 
-    async def load_statuses(operations: Operations, entries: EntryClients) -> Content:
+    async def load_statuses(porcelain: Porcelain, entries: EntryClients) -> Content:
         return {"entries": await entries.statuses()}
 
     shown = context.run(load_statuses)
--- a/packages/ochreway-cli/src/ochreway_cli/operations.py
+++ b/packages/ochreway-cli/src/ochreway_cli/porcelain.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Operations on bundles and versions: check, submit, approve, roll, show."""
+"""The porcelain: what the commands do, above the services of the platform."""
 
 import base64
 import time
@@ -80,7 +80,7 @@
         raise CommandError(f"{path}: not a key of `ochreway keys new`: {error}") from error
 
 
-class Operations:
+class Porcelain:
     """Carries out operator requests on the platform's table and object store."""
 
     def __init__(self, table: Table, objects: ObjectStore, scope: ScopeId) -> None:
@@ -259,4 +259,4 @@
         return f"version {winner.version} of {winner.operator} came first ({winner.bundle[:12]})"
 
 
-__all__ = ["KeyPair", "Operations", "check_bundle", "load_key", "new_keys"]
+__all__ = ["KeyPair", "Porcelain", "check_bundle", "load_key", "new_keys"]
--- a/packages/ochreway-standins/src/ochreway_standins/site.py
+++ b/packages/ochreway-standins/src/ochreway_standins/site.py
@@ -20,7 +20,7 @@
 
 import aiohttp
 
-from ochreway_cli.operations import KeyPair, new_keys
+from ochreway_cli.porcelain import KeyPair, new_keys
 
 LINK_KEY = "a-link-key-for-loopback-only"
 OPERATOR_TOKEN = "operator-token"
--- a/tests/cli/test_halls.py
+++ b/tests/cli/test_halls.py
@@ -14,7 +14,7 @@
 from ochreway_core.rows import HallsRow, halls_key
 from ochreway_core.table import CommitReply, Transaction
 from ochreway_platform.instancelist import MemoryInstanceList
-from tests.cli.test_operations import FlakyTable
+from tests.cli.test_porcelain import FlakyTable
 
 A, B = HallId("a"), HallId("b")
 
--- a/tests/cli/test_operations.py
+++ b/tests/cli/test_porcelain.py
@@ -7,7 +7,7 @@
 
 from ochreway_cli import settle
 from ochreway_cli.errors import BundleRefused, FateUnknown, NotApproved, NotFound, RaceLost
-from ochreway_cli.operations import Operations
+from ochreway_cli.porcelain import Porcelain
 from ochreway_core.ids import ScopeId
 from ochreway_core.rows import head_key
 from ochreway_core.table import CommitReply, CommitStatus, Row, Transaction
@@ -39,41 +39,41 @@
         return self.read_now(prefixes)
 
 
-class OperationsTests(testtools.TestCase):
+class PorcelainTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.table = FlakyTable()
-        self.operations = Operations(self.table, MemoryObjectStore(), ScopeId("main"))
+        self.porcelain = Porcelain(self.table, MemoryObjectStore(), ScopeId("main"))
         self.patch(settle, "RETRY_DELAY_S", 0.0)
 
     def approved(self, body: bytes = BODY) -> str:
         async def submit_and_approve() -> str:
-            row = await self.operations.submit(body, "ann")
-            await self.operations.approve(row.bundle, "bo", KEY)
+            row = await self.porcelain.submit(body, "ann")
+            await self.porcelain.approve(row.bundle, "bo", KEY)
             return row.bundle
 
         return asyncio.run(submit_and_approve())
 
     def roll(self, digest: str, seen: int | None = None) -> int:
-        return asyncio.run(self.operations.roll(digest, "ann", seen)).roll.version
+        return asyncio.run(self.porcelain.roll(digest, "ann", seen)).roll.version
 
     def test_rolling_back_creates_a_new_version(self) -> None:
         first, second = self.approved(), self.approved(SECOND)
         self.assertEqual([1, 2, 3], [self.roll(first), self.roll(second), self.roll(first)])
 
     def test_rolled_version_can_be_applied(self) -> None:
-        snapshot = asyncio.run(self.operations.roll(self.approved(), "ann", None))
+        snapshot = asyncio.run(self.porcelain.roll(self.approved(), "ann", None))
         view = View({"bo": KEY.public_key()}, 60.0)
         self.assertTrue(view.apply(snapshot, 0.0).unwrap())
         self.assertFalse(view.apply(snapshot, 0.0).unwrap())
 
     def test_unsigned_bundle_is_not_rolled(self) -> None:
-        row = asyncio.run(self.operations.submit(BODY, "ann"))
+        row = asyncio.run(self.porcelain.submit(BODY, "ann"))
         self.assertRaises(NotApproved, self.roll, row.bundle)
 
     def test_author_may_not_sign_off(self) -> None:
-        row = asyncio.run(self.operations.submit(BODY, "ann"))
-        approve = self.operations.approve(row.bundle, "ann", KEY)
+        row = asyncio.run(self.porcelain.submit(BODY, "ann"))
+        approve = self.porcelain.approve(row.bundle, "ann", KEY)
         self.assertRaises(NotApproved, asyncio.run, approve)
 
     def test_unknown_bundle(self) -> None:
@@ -81,7 +81,7 @@
 
     def test_bundle_of_another_scope(self) -> None:
         body = BODY.replace(b'name = "care"', b'name = "care"\nscope = "other"', 1)
-        self.assertRaises(BundleRefused, asyncio.run, self.operations.submit(body, "ann"))
+        self.assertRaises(BundleRefused, asyncio.run, self.porcelain.submit(body, "ann"))
 
     def test_operator_who_saw_another_version_is_told_which(self) -> None:
         digest = self.approved()
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -2,7 +2,7 @@
 import testtools
 from click.testing import CliRunner
 
-from ochreway_cli.operations import new_keys
+from ochreway_cli.porcelain import new_keys
 from ochreway_daemon.main import main
 
 GOOD = {
--- a/tests/processes/test_ports.py
+++ b/tests/processes/test_ports.py
@@ -10,7 +10,7 @@
 
 import testtools
 
-from ochreway_cli.operations import new_keys
+from ochreway_cli.porcelain import new_keys
 from ochreway_daemon.main import EXIT_LISTEN
 from ochreway_standins.site import ProcessEnded, Site, free_port, running_site, until
 
