--- a/packages/ochreway-cli/src/ochreway_cli/porcelain.py
+++ b/packages/ochreway-cli/src/ochreway_cli/porcelain.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What operators do, each as one call: check, submit, approve, roll, look."""
+"""The porcelain: what the commands do, above the services of the platform."""
 
 import base64
 import time
@@ -31,12 +31,12 @@
 from ochreway_platform.objectstore import ObjectStore
 from ochreway_platform.table import Table
 
-FORMER_KEPT_S = 300.0
+FORMER_KEEPERS_RETENTION_S = 300.0
 
 
 @dataclass(frozen=True, slots=True)
 class KeyPair:
-    """Hold a new operator key, both halves as base64."""
+    """A new operator key pair, both keys encoded as base64."""
 
     private: str
     public: str
@@ -52,7 +52,7 @@
         The bundle.
 
     Raises:
-        BundleRefused: with a line for each fault.
+        BundleRefused: if the bundle is invalid, with one line per fault.
     """
     parsed = parse_bundle(body)
     if parsed.is_err():
@@ -72,16 +72,16 @@
     """Read a private key from a file.
 
     Raises:
-        CommandError: when the file is not such a key.
+        CommandError: if the file cannot be read or is not such a key.
     """
     try:
         return Ed25519PrivateKey.from_private_bytes(base64.b64decode(path.read_text().strip()))
-    except (OSError, ValueError) as fault:
-        raise CommandError(f"{path}: not a key of `ochreway keys new`: {fault}") from fault
+    except (OSError, ValueError) as error:
+        raise CommandError(f"{path}: not a key of `ochreway keys new`: {error}") from error
 
 
 class Porcelain:
-    """Do what operators ask against the platform's table and object store."""
+    """Carries out operator requests on the platform's table and object store."""
 
     def __init__(self, table: Table, objects: ObjectStore, scope: ScopeId) -> None:
         self._table = table
@@ -93,14 +93,14 @@
 
         Args:
             body: the bundle's TOML.
-            author: who wrote it.
+            author: name of its author.
 
         Returns:
-            The bundle's row; an earlier one when the same was submitted before.
+            The bundle's row; the existing one if the same bundle was submitted before.
 
         Raises:
-            BundleRefused: when the bundle is not acceptable.
-            PlatformDown: when the platform does not answer.
+            BundleRefused: if the bundle is invalid or of another scope.
+            PlatformDown: if the platform does not answer.
         """
         bundle = check_bundle(body)
         if bundle.scope != self._scope:
@@ -108,8 +108,8 @@
         digest = bundle_hash(body)
         try:
             await self._objects.put(f"bundles/{digest}", body)
-        except ObjectStoreUnavailable as fault:
-            raise PlatformDown(f"the object store does not answer: {fault}") from fault
+        except ObjectStoreUnavailable as error:
+            raise PlatformDown(f"the object store does not answer: {error}") from error
         key = bundle_key(digest)
         row = BundleRow(digest, author, bundle.name, time.time())
         transaction = Transaction(
@@ -122,10 +122,10 @@
         return row
 
     async def bundle_row(self, digest: str) -> BundleRow:
-        """Return a submitted bundle's row; a unique beginning of the hash will do.
+        """Return a submitted bundle's row, given its hash or a unique prefix of it.
 
         Raises:
-            NotFound: when no bundle, or more than one, begins so.
+            NotFound: if no bundle, or more than one, matches the prefix.
         """
         rows = await settle.read(self._table, bundle_key(digest))
         if len(rows) != 1:
@@ -136,21 +136,21 @@
         """Return a bundle's TOML.
 
         Raises:
-            NotFound: when the object store does not have it.
-            PlatformDown: when it does not answer.
+            NotFound: if the object store does not have it.
+            PlatformDown: if the object store does not answer.
         """
         try:
             return await self._objects.get(f"bundles/{digest}")
-        except ObjectMissing as fault:
-            raise NotFound(f"no body of {digest}") from fault
-        except ObjectStoreUnavailable as fault:
-            raise PlatformDown(f"the object store does not answer: {fault}") from fault
+        except ObjectMissing as error:
+            raise NotFound(f"no body of {digest}") from error
+        except ObjectStoreUnavailable as error:
+            raise PlatformDown(f"the object store does not answer: {error}") from error
 
     async def bundles(self) -> list[BundleRow]:
         """Return every submitted bundle, newest last."""
         rows = await settle.read(self._table, "bundle/")
-        found = [decode(BundleRow, row.content) for row in rows.values()]
-        return sorted(found, key=lambda row: row.submitted_wall_s)
+        bundle_rows = [decode(BundleRow, row.content) for row in rows.values()]
+        return sorted(bundle_rows, key=lambda row: row.submitted_wall_s)
 
     async def approvals(self, digest: str) -> list[Approval]:
         """Return the approvals of a bundle."""
@@ -158,26 +158,28 @@
         return [decode(Approval, row.content) for row in rows.values()]
 
     async def approve(self, digest: str, approver: str, key: Ed25519PrivateKey) -> Approval:
-        """Sign a bundle off.
+        """Sign off a bundle.
 
         Raises:
-            NotApproved: when the approver is the author.
-            NotFound: when there is no such bundle.
+            NotApproved: if the approver is the author.
+            NotFound: if there is no such bundle.
         """
         row = await self.bundle_row(digest)
         try:
             approval = approve(row.bundle, row.author, approver, key)
-        except SignatureInvalid as fault:
-            raise NotApproved(str(fault)) from fault
-        name = approval_key(row.bundle, approver)
+        except SignatureInvalid as error:
+            raise NotApproved(str(error)) from error
+        approval_row_key = approval_key(row.bundle, approver)
         transaction = Transaction(
-            settle.new_change(approver), (Condition(name, ABSENT),), {name: encode(approval)}
+            settle.new_change(approver),
+            (Condition(approval_row_key, ABSENT),),
+            {approval_row_key: encode(approval)},
         )
-        await settle.commit(self._table, transaction, name)
+        await settle.commit(self._table, transaction, approval_row_key)
         return approval
 
     async def head(self) -> RollRow | None:
-        """Return the accepted version."""
+        """Return the accepted version, or None if there is none."""
         rows = await settle.read(self._table, head_key(self._scope))
         row = rows.get(head_key(self._scope))
         return decode(RollRow, row.content) if row else None
@@ -186,17 +188,17 @@
         """Accept a signed-off bundle as the next version.
 
         Args:
-            digest: the bundle's hash, or a unique beginning of it.
-            operator: who rolls it.
-            seen: the version the operator believes to be in force; None takes what is.
+            digest: the bundle's hash, or a unique prefix of it.
+            operator: name of the operator.
+            seen: the version the operator believes to be in force; None accepts any.
 
         Returns:
-            The accepted version with all that a process needs to apply it.
+            The accepted version with everything a process needs to apply it.
 
         Raises:
-            NotApproved: when nobody has signed it off.
-            RaceLost: when another version is or came in force; the message names it.
-            FateUnknown: when the table does not say.
+            NotApproved: if nobody has signed it off.
+            RaceLost: if another version is in force or was committed first; the message names it.
+            FateUnknown: if the outcome of the change cannot be determined.
         """
         bundle = await self.bundle_row(digest)
         approvals = await self.approvals(bundle.bundle)
@@ -206,14 +208,14 @@
         rows = await settle.read(self._table, head_key(self._scope))
         current = rows.get(head_key(self._scope))
         former = decode(RollRow, current.content) if current else None
-        standing = former.version if former else Version(0)
-        if seen is not None and seen != standing:
-            raise RaceLost(f"version {standing} is in force, not {seen}")
+        current_version = former.version if former else Version(0)
+        if seen is not None and seen != current_version:
+            raise RaceLost(f"version {current_version} is in force, not {seen}")
         roll = await self._next_roll(former, bundle, operator)
         try:
             await self._commit_roll(roll, current.revision if current else ABSENT)
-        except RaceLost as fault:
-            raise RaceLost(await self._who_won(roll)) from fault
+        except RaceLost as error:
+            raise RaceLost(await self._describe_winner(roll)) from error
         return make_snapshot(roll, body, tuple(approvals))
 
     async def _next_roll(self, former: RollRow | None, bundle: BundleRow, operator: str) -> RollRow:
@@ -236,21 +238,21 @@
         if former is None:
             return ()
         keepers = [key_keepers(check_bundle(await self.body(former.bundle)))]
-        if now_wall_s - former.accepted_wall_s < FORMER_KEPT_S:
+        if now_wall_s - former.accepted_wall_s < FORMER_KEEPERS_RETENTION_S:
             keepers += former.former
         return tuple(dict.fromkeys(keepers))
 
     async def _commit_roll(self, roll: RollRow, revision: int) -> None:
-        head, record = head_key(self._scope), roll_key(self._scope, roll.version)
+        head_row_key, record_key = head_key(self._scope), roll_key(self._scope, roll.version)
         content = encode(roll)
         transaction = Transaction(
             roll.change,
-            (Condition(head, revision), Condition(record, ABSENT)),
-            {head: content, record: content},
+            (Condition(head_row_key, revision), Condition(record_key, ABSENT)),
+            {head_row_key: content, record_key: content},
         )
-        await settle.commit(self._table, transaction, record)
+        await settle.commit(self._table, transaction, record_key)
 
-    async def _who_won(self, roll: RollRow) -> str:
+    async def _describe_winner(self, roll: RollRow) -> str:
         winner = await self.head()
         if winner is None:
             return "another roll came first"
