--- a/packages/ochreway-cli/src/ochreway_cli/explain/logline.py
+++ b/packages/ochreway-cli/src/ochreway_cli/explain/logline.py
@@ -1,17 +1,17 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One line of a process's log."""
+"""Parsing of one line of a process log."""
 
 import re
 from dataclasses import dataclass
 from datetime import datetime
 
 _PAIR = re.compile(r'(\w+)=("[^"]*"|\S*)')
-_BEGIN = re.compile(r"time=\S+ level=\S+ event=")
+_LINE_START = re.compile(r"time=\S+ level=\S+ event=")
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """Hold what a line says; ``number`` is its place in the log of its node."""
+    """A parsed log line; ``number`` is its position in the log of its node."""
 
     node: str
     number: int
@@ -20,24 +20,24 @@
     fields: dict[str, str]
 
     def get(self, name: str) -> str:
-        """Return a field, empty when the line lacks it."""
+        """Return a field, or an empty string if the line does not have it."""
         return self.fields.get(name, "")
 
     @property
     def group(self) -> tuple[str, str]:
-        """Return the group and the epoch that the line is about."""
+        """Return the group and the epoch that the line refers to."""
         return self.get("group"), self.get("epoch")
 
 
-def parse(text: str, number: int) -> LogLine | None:
-    """Return what a line says, or None for one that no process of ours wrote.
+def parse_line(text: str, number: int) -> LogLine | None:
+    """Parse a line; return None if it is not in the log format of ochreway.
 
-    Whatever stands before its time, as collectors of logs put there, is passed over.
+    Any prefix before the ``time`` field, such as log collectors add, is skipped.
     """
-    begin = _BEGIN.search(text)
-    if begin is None:
+    prefix_match = _LINE_START.search(text)
+    if prefix_match is None:
         return None
-    fields = {name: value.strip('"') for name, value in _PAIR.findall(text[begin.start() :])}
+    fields = {name: value.strip('"') for name, value in _PAIR.findall(text[prefix_match.start() :])}
     try:
         time_s = datetime.fromisoformat(fields["time"].replace("Z", "+00:00")).timestamp()
     except ValueError:
@@ -46,4 +46,4 @@
     return LogLine(fields.get("node", ""), number, time_s, event, fields)
 
 
-__all__ = ["LogLine", "parse"]
+__all__ = ["LogLine", "parse_line"]
