--- a/packages/ochreway-standins/src/ochreway_standins/soak/crashtruth.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/crashtruth.py
@@ -11,13 +11,13 @@
 from ochreway_standins.soak.simtarget import FATAL
 from ochreway_standins.soak.world import World
 
-CRASHES = 3
-HEARS_S = 4.0
+FATAL_AFTER_CRASHES = 3
+MAX_PROPAGATION_S = 4.0
 """For how long an entry has to have been undisturbed to be sure to have heard.
 
 A word that was lost is told again within 2 s; entries are looked at each half second.
 """
-SENT_AT_MOST = 3
+MAX_LATE_SENDS = 3
 
 
 @dataclass(slots=True)
@@ -26,46 +26,61 @@
 
     world: World
     _disturbed_s: dict[NodeId, float] = field(default_factory=dict)
-    _counted: dict[bytes, list[float]] = field(default_factory=dict)
-    _late: Counter[bytes] = field(default_factory=Counter)
+    _crashes_s: dict[bytes, list[float]] = field(default_factory=dict)
+    _late_sends: Counter[bytes] = field(default_factory=Counter)
 
-    def look(self) -> None:
+    def observe(self) -> None:
         """Note which entries something is done to now."""
         now_s = self.world.clock.now_s
         for process in self.world.entries():
-            if self._disturbed(process):
+            if self._is_disturbed(process):
                 self._disturbed_s[process.peer.node] = now_s
 
-    def _disturbed(self, process: Process) -> bool:
-        young = self.world.clock.now_s - process.born_s < HEARS_S
-        return young or not process.running or self.world.network.disorder or self._cut(process)
+    def _is_disturbed(self, process: Process) -> bool:
+        recently_started = self.world.clock.now_s - process.born_s < MAX_PROPAGATION_S
+        return (
+            recently_started
+            or not process.running
+            or self.world.network.disorder
+            or self._is_cut_off(process)
+        )
 
-    def _cut(self, process: Process) -> bool:
+    def _is_cut_off(self, process: Process) -> bool:
         node, network = process.peer.node, self.world.network
         others = (other for other in self.world.processes if other != node)
         return any(network.is_cut(node, each) or network.is_cut(each, node) for each in others)
 
-    def _calm_since_s(self, entry: NodeId) -> float:
+    def _undisturbed_since_s(self, entry: NodeId) -> float:
         return self._disturbed_s.get(entry, 0.0)
 
-    def handed_over(self, leader: NodeId, submit: Submit) -> Iterator[str]:
+    def check_hand_over(self, leader: NodeId, submit: Submit) -> Iterator[str]:
         """Judge a request that goes to its target now."""
         if not submit.body.startswith(FATAL):
             return
-        self.look()
+        self.observe()
         now_s = self.world.clock.now_s
         entry = submit.attempt.entry
-        calm_s = now_s - self._calm_since_s(entry)
-        crashes = self._counted.setdefault(submit.body, [])
-        known = len(crashes) >= CRASHES and now_s - crashes[CRASHES - 1] > HEARS_S
-        if known and calm_s > HEARS_S and not self.world.targets[leader].down:
-            self._late[submit.body] += 1
-            if self._late[submit.body] > SENT_AT_MOST:
-                yield f"{entry} sent {submit.body!r} to {leader}, {self._late[submit.body]} times"
-        if calm_s > HEARS_S and self._calm(leader):
+        undisturbed_s = now_s - self._undisturbed_since_s(entry)
+        crashes = self._crashes_s.setdefault(submit.body, [])
+        is_known_fatal = (
+            len(crashes) >= FATAL_AFTER_CRASHES
+            and now_s - crashes[FATAL_AFTER_CRASHES - 1] > MAX_PROPAGATION_S
+        )
+        if (
+            is_known_fatal
+            and undisturbed_s > MAX_PROPAGATION_S
+            and not self.world.targets[leader].down
+        ):
+            self._late_sends[submit.body] += 1
+            if self._late_sends[submit.body] > MAX_LATE_SENDS:
+                yield (
+                    f"{entry} sent {submit.body!r} to {leader},"
+                    f" {self._late_sends[submit.body]} times"
+                )
+        if undisturbed_s > MAX_PROPAGATION_S and self._can_report(leader):
             crashes.append(now_s)
 
-    def _calm(self, leader: NodeId) -> bool:
+    def _can_report(self, leader: NodeId) -> bool:
         """Tell whether the agent of a target can tell of its end."""
         process = self.world.processes[leader]
         target = self.world.targets[leader]
--- a/packages/ochreway-standins/src/ochreway_standins/soak/faults.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/faults.py
@@ -474,7 +474,7 @@
 def _fatal_request(faults: Faults) -> None:
     """Send a request repeatedly that ends every target that runs it."""
     service = faults.world.random.random() < 0.5
-    faults.callers.ask_fatal(FATAL + str(faults.count).encode(), service, FATAL_TRIES)
+    faults.callers.send_fatal(FATAL + str(faults.count).encode(), service, FATAL_TRIES)
 
 
 @fault("roll")
@@ -514,9 +514,9 @@
 def _drain_hall(faults: Faults) -> None:
     """Drain a hall for a while; a later drain takes the place of this one."""
     hall = HALL if faults.world.random.random() < MAIN_HALL_SHARE else OTHER_HALL
-    faults.halls.want(hall)
+    faults.halls.set_drained(hall)
     duration_s = faults.draw_duration_s(*HALL_DRAIN_DURATION_S)
-    faults.world.clock.after(duration_s, faults.halls.want)
+    faults.world.clock.after(duration_s, faults.halls.set_drained)
 
 
 @fault("list_leaving")
--- a/packages/ochreway-standins/src/ochreway_standins/soak/halloperator.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/halloperator.py
@@ -8,7 +8,7 @@
 from ochreway_core.table import ABSENT, Condition, ReadReply, Transaction
 from ochreway_standins.soak.world import SCOPE, World
 
-AGAIN_S = 0.5
+POLL_INTERVAL_S = 0.5
 
 
 class HallOperator:
@@ -18,30 +18,30 @@
         self._world = world
         self._wanted: tuple[HallId, ...] = ()
         self._changes = 0
-        self._begun = False
+        self._polling = False
 
-    def want(self, *halls: HallId) -> None:
+    def set_drained(self, *halls: HallId) -> None:
         """Have these halls drained and no others, from now on."""
         self._wanted = halls
-        if not self._begun:
-            self._begun = True
-            self._look()
+        if not self._polling:
+            self._polling = True
+            self._poll()
 
-    def _look(self) -> None:
-        self._world.platform.read((halls_key(SCOPE),), self._follow)
-        self._world.clock.after(AGAIN_S, self._look)
+    def _poll(self) -> None:
+        self._world.platform.read((halls_key(SCOPE),), self._on_read)
+        self._world.clock.after(POLL_INTERVAL_S, self._poll)
 
-    def _follow(self, reply: ReadReply) -> None:
+    def _on_read(self, reply: ReadReply) -> None:
         if reply.rows is None:
             return
         row = reply.rows.get(halls_key(SCOPE))
-        standing = decode(HallsRow, row.content).drained if row else UNREAD_HALLS
-        if standing.halls != self._wanted:
-            self._write(standing, row.revision if row else ABSENT)
+        current = decode(HallsRow, row.content).drained if row else UNREAD_HALLS
+        if current.halls != self._wanted:
+            self._write(current, row.revision if row else ABSENT)
 
-    def _write(self, standing: DrainedHalls, revision: int) -> None:
+    def _write(self, current: DrainedHalls, revision: int) -> None:
         self._changes += 1
-        drained = DrainedHalls(standing.version + 1, self._wanted)
+        drained = DrainedHalls(current.version + 1, self._wanted)
         change = ChangeId(f"hal.{self._changes}")
         content = encode(HallsRow(SCOPE, drained, "hal", change))
         key, record = halls_key(SCOPE), halls_change_key(SCOPE, drained.version)
--- a/packages/ochreway-standins/src/ochreway_standins/soak/halltruth.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/halltruth.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class _Heard:
+class _KnownDrains:
     """Hold the word that one process was seen to have, and since when it names each hall."""
 
     process: Process
@@ -23,30 +23,30 @@
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self._heard: dict[NodeId, _Heard] = {}
+        self._known: dict[NodeId, _KnownDrains] = {}
 
-    def look(self) -> None:
+    def observe(self) -> None:
         """Note which halls each entry knows to be drained."""
         for process in self._world.entries():
             node = process.node
             assert isinstance(node, EntryNode)
-            heard = self._heard.get(process.peer.node)
-            if heard is None or heard.process is not process:
-                heard = self._heard[process.peer.node] = _Heard(process)
-            word = node.drains.newest
-            if word.version > heard.version + 1:
+            known = self._known.get(process.peer.node)
+            if known is None or known.process is not process:
+                known = self._known[process.peer.node] = _KnownDrains(process)
+            latest = node.drains.newest
+            if latest.version > known.version + 1:
                 # A hall may have been given back and drained again between two looks.
-                heard.since_s = {}
+                known.since_s = {}
             now_s = self._world.clock.now_s
-            heard.version = word.version
-            heard.since_s = {hall: heard.since_s.get(hall, now_s) for hall in word.halls}
+            known.version = latest.version
+            known.since_s = {hall: known.since_s.get(hall, now_s) for hall in latest.halls}
 
     def known_for_s(self, entry: NodeId, hall: HallId, at_s: float) -> float:
         """Return for how long an entry had known at a time that a hall is drained."""
-        heard = self._heard.get(entry)
-        if heard is None or heard.process is not self._world.processes.get(entry):
+        known = self._known.get(entry)
+        if known is None or known.process is not self._world.processes.get(entry):
             return 0.0
-        since_s = heard.since_s.get(hall)
+        since_s = known.since_s.get(hall)
         return at_s - since_s if since_s is not None else 0.0
 
 
--- a/packages/ochreway-standins/src/ochreway_standins/soak/network.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/network.py
@@ -8,12 +8,12 @@
 from ochreway_standins.soak.clock import Clock
 
 RESET_AFTER_S = 3.0
-DELAY_S = (0.0002, 0.002)
-DISORDER_S = 0.3
-DOUBLED_SHARE = 0.2
+DELAY_RANGE_S = (0.0002, 0.002)
+MAX_DISORDER_DELAY_S = 0.3
+DUPLICATED_SHARE = 0.2
 
 Deliver = Callable[[], None]
-Pair = tuple[NodeId, NodeId]
+Direction = tuple[NodeId, NodeId]
 
 
 class Network:
@@ -23,9 +23,9 @@
         self._clock = clock
         self._random = rng
         self._reset = reset
-        self._cut_since_s: dict[Pair, float] = {}
-        self._held: dict[Pair, list[Deliver]] = {}
-        self._last_s: dict[Pair, float] = {}
+        self._cut_since_s: dict[Direction, float] = {}
+        self._held: dict[Direction, list[Deliver]] = {}
+        self._last_arrival_s: dict[Direction, float] = {}
         self.disorder = False
 
     def send(self, source: NodeId, target: NodeId, deliver: Deliver) -> None:
@@ -34,15 +34,15 @@
         if pair in self._cut_since_s:
             self._held.setdefault(pair, []).append(deliver)
             return
-        arrives_s = self._clock.now_s + self._random.uniform(*DELAY_S)
+        arrival_s = self._clock.now_s + self._random.uniform(*DELAY_RANGE_S)
         if self.disorder:
-            arrives_s += self._random.random() * DISORDER_S
-            if self._random.random() < DOUBLED_SHARE:
-                self._clock.at(arrives_s + self._random.random() * DISORDER_S, deliver)
+            arrival_s += self._random.random() * MAX_DISORDER_DELAY_S
+            if self._random.random() < DUPLICATED_SHARE:
+                self._clock.at(arrival_s + self._random.random() * MAX_DISORDER_DELAY_S, deliver)
         else:
-            arrives_s = max(arrives_s, self._last_s.get(pair, 0.0))
-            self._last_s[pair] = arrives_s
-        self._clock.at(arrives_s, deliver)
+            arrival_s = max(arrival_s, self._last_arrival_s.get(pair, 0.0))
+            self._last_arrival_s[pair] = arrival_s
+        self._clock.at(arrival_s, deliver)
 
     def cut(self, source: NodeId, target: NodeId) -> None:
         """Stop one direction; the link is reset when that lasts."""
@@ -51,7 +51,7 @@
         self._cut_since_s[pair] = since_s
         self._clock.after(RESET_AFTER_S, lambda: self._reset_if_still_cut(pair, since_s))
 
-    def _reset_if_still_cut(self, pair: Pair, since_s: float) -> None:
+    def _reset_if_still_cut(self, pair: Direction, since_s: float) -> None:
         if self._cut_since_s.get(pair) != since_s:
             return
         for each in (pair, pair[::-1]):
--- a/packages/ochreway-standins/src/ochreway_standins/soak/operator.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/operator.py
@@ -98,7 +98,7 @@
         assert read.rows is not None
         current = read.rows.get(head_key(SCOPE))
         former = decode(RollRow, current.content) if current else None
-        roll = self._next(body, former)
+        roll = self._next_roll(body, former)
         head, record = head_key(SCOPE), roll_key(SCOPE, roll.version)
         content = encode(roll)
         revision = current.revision if current else ABSENT
@@ -136,7 +136,7 @@
 
         self._world.platform.read((record,), read)
 
-    def _next(self, body: bytes, former: RollRow | None) -> RollRow:
+    def _next_roll(self, body: bytes, former: RollRow | None) -> RollRow:
         self._changes += 1
         now_wall_s = START_WALL_S + self._world.clock.now_s
         return RollRow(
--- a/packages/ochreway-standins/src/ochreway_standins/soak/run.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/run.py
@@ -66,7 +66,7 @@
         clock.at(ROLL_AT_S, self._first_roll)
         clock.at(
             FAULTS_FROM_S,
-            partial(self.callers.ask_until, REQUESTS_UNTIL_S, MEAN_REQUEST_INTERVAL_S),
+            partial(self.callers.send_until, REQUESTS_UNTIL_S, MEAN_REQUEST_INTERVAL_S),
         )
         self.faults.draw(self._kinds, self._pairs, FAULTS_FROM_S, FAULTS_UNTIL_S)
         clock.at(TABLE_CHECK_INTERVAL_S, self._check_table)
@@ -77,12 +77,12 @@
         return self._result(world)
 
     def _result(self, world: World) -> RunResult:
-        finishes = [each.finish for each in self.callers.asked.values() if each.finish]
+        finishes = [each.finish for each in self.callers.sent_requests.values() if each.finish]
         answered = sum(each.outcome is Outcome.ANSWERED for each in finishes)
         return RunResult(
             seed=self.seed,
             faults=self.faults.count,
-            requests=len(self.callers.asked),
+            requests=len(self.callers.sent_requests),
             answered=answered,
             violations=tuple(self.truth.violations),
             trace_digest=hashlib.sha256("\n".join(world.trace).encode()).hexdigest(),
@@ -100,7 +100,7 @@
 
     def _heal(self) -> None:
         self.world.platform.mode = Mode.UP
-        self.faults.halls.want()
+        self.faults.halls.set_drained()
         self.world.network.heal_all()
         self.world.next_hand_over_pause_s = lambda: 0.0
         self.world.around_hand_over = lambda node, moment: None
@@ -141,7 +141,7 @@
         for asked in self.callers.unanswered():
             self._report_no_progress(f"{asked.request.request} has not ended")
         late_requests = [
-            each for each in self.callers.asked.values() if each.asked_s > RECOVERED_FROM_S
+            each for each in self.callers.sent_requests.values() if each.sent_s > RECOVERED_FROM_S
         ]
         answered = sum(
             each.finish is not None and each.finish.outcome is Outcome.ANSWERED
--- a/packages/ochreway-standins/src/ochreway_standins/soak/simplatform.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/simplatform.py
@@ -11,8 +11,8 @@
 from ochreway_platform.memorytable import MemoryTable
 from ochreway_standins.soak.clock import Clock
 
-ANSWER_S = (0.002, 0.02)
-SLOW_S = (0.5, 6.0)
+DELAY_RANGE_S = (0.002, 0.02)
+SLOW_DELAY_RANGE_S = (0.5, 6.0)
 
 
 class Mode(Enum):
@@ -37,7 +37,9 @@
         self._random = rng
 
     def _delay_s(self) -> float:
-        return self._random.uniform(*(SLOW_S if self.mode is Mode.SLOW else ANSWER_S))
+        return self._random.uniform(
+            *(SLOW_DELAY_RANGE_S if self.mode is Mode.SLOW else DELAY_RANGE_S)
+        )
 
     def read(self, prefixes: tuple[str, ...], answer: Callable[[ReadReply], None]) -> None:
         """Read rows."""
@@ -81,8 +83,8 @@
 
     def list_now(self, answer: Callable[[list[ListedInstance]], None]) -> None:
         """Read the list as it is now, answered with a lag whatever the table does."""
-        found = list(self.listed.values())
-        self._clock.after(self.list_lag_s, lambda: answer(found))
+        instances = list(self.listed.values())
+        self._clock.after(self.list_lag_s, lambda: answer(instances))
 
 
 __all__ = ["Mode", "SimPlatform"]
--- a/packages/ochreway-standins/src/ochreway_standins/soak/simtarget.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/simtarget.py
@@ -14,9 +14,9 @@
 from ochreway_standins.engine import REWIRE_SHARE
 from ochreway_standins.soak.clock import Clock
 
-PIECES = (1, 12)
-PIECE_S = (0.01, 0.3)
-BACK_S = (2.0, 4.0)
+PIECE_COUNT_RANGE = (1, 12)
+PIECE_INTERVAL_S = (0.01, 0.3)
+RESTART_S = (2.0, 4.0)
 """How long a target takes to come back after its process ended."""
 FATAL = b"fatal"
 """With what the body of a request begins that ends whatever runs it."""
@@ -53,12 +53,12 @@
     executions: list[Execution]
     epoch: int = 0
     artifact: str = ""
-    loaded_s: float = 1.0e9
+    loaded_at_s: float = 1.0e9
     incarnation: int = 0
     broken: bool = False
-    back_s: float = 0.0
+    restarted_at_s: float = 0.0
     busy_until_s: float = 0.0
-    asks_s: float = 0.0
+    requested_backoff_s: float = 0.0
     leaving: bool = False
     limit_per_s: float | None = None
     running: dict[AttemptId, int] = field(default_factory=dict)
@@ -66,7 +66,7 @@
     @property
     def loaded(self) -> bool:
         """Tell whether the target can run what it was ordered to."""
-        return self.kind is TargetKind.SERVICE or self.clock.now_s >= self.loaded_s
+        return self.kind is TargetKind.SERVICE or self.clock.now_s >= self.loaded_at_s
 
     def order(self, order: TargetOrder) -> None:
         """Load what is ordered; a target that checks orders refuses an older epoch."""
@@ -77,23 +77,26 @@
         has_weights = self.loaded and order.artifact == self.artifact
         self.epoch, self.artifact = order.epoch, order.artifact
         load_s = self.load_s * REWIRE_SHARE if has_weights else self.load_s
-        self.loaded_s = self.clock.now_s + load_s
+        self.loaded_at_s = self.clock.now_s + load_s
 
     def crash(self) -> None:
         """Lose everything."""
         self.incarnation += 1
-        self.epoch, self.artifact, self.loaded_s = 0, "", 1.0e9
+        self.epoch, self.artifact, self.loaded_at_s = 0, "", 1.0e9
         self.running.clear()
         self.busy_until_s, self.leaving, self.limit_per_s = 0.0, False, None
 
     @property
     def down(self) -> bool:
         """Tell whether the target's process has ended and is not back yet."""
-        return self.clock.now_s < self.back_s
+        return self.clock.now_s < self.restarted_at_s
 
-    def turn_away(self, lasts_s: float, asks_s: float) -> None:
+    def turn_away(self, duration_s: float, requested_backoff_s: float) -> None:
         """Turn away all that comes for a while, and ask each time to be left alone for a time."""
-        self.busy_until_s, self.asks_s = self.clock.now_s + lasts_s, asks_s
+        self.busy_until_s, self.requested_backoff_s = (
+            self.clock.now_s + duration_s,
+            requested_backoff_s,
+        )
 
     @property
     def busy(self) -> bool:
@@ -103,12 +106,14 @@
     @property
     def notice(self) -> TargetNotice:
         """Return what the target says of itself in an answer now."""
-        return TargetNotice(self.asks_s if self.busy else None, self.leaving, self.limit_per_s)
+        return TargetNotice(
+            self.requested_backoff_s if self.busy else None, self.leaving, self.limit_per_s
+        )
 
     def end(self) -> None:
         """End as a process does; it comes back and knows nothing."""
         self.crash()
-        self.back_s = self.clock.now_s + self.random.uniform(*BACK_S)
+        self.restarted_at_s = self.clock.now_s + self.random.uniform(*RESTART_S)
 
     def run(self, submit: Submit, on_chunk: OnChunk, on_failed: OnFailed) -> None:
         """Begin an attempt."""
@@ -124,23 +129,25 @@
         if submit.body.startswith(FATAL):
             self._run_fatal(attempt, on_failed)
         else:
-            self._piece(submit, 0, on_chunk, on_failed)
+            self._schedule_piece(submit, 0, on_chunk, on_failed)
 
     def _run_fatal(self, attempt: AttemptId, on_failed: OnFailed) -> None:
         incarnation = self.incarnation
 
-        def ends() -> None:
+        def end_target() -> None:
             if self.running.get(attempt) == incarnation == self.incarnation:
                 self.end()
             on_failed(attempt, True, self.incarnation != incarnation)
 
-        self.clock.after(self.random.uniform(*PIECE_S), ends)
+        self.clock.after(self.random.uniform(*PIECE_INTERVAL_S), end_target)
 
-    def _piece(self, submit: Submit, index: int, on_chunk: OnChunk, on_failed: OnFailed) -> None:
+    def _schedule_piece(
+        self, submit: Submit, index: int, on_chunk: OnChunk, on_failed: OnFailed
+    ) -> None:
         attempt, incarnation = submit.attempt, self.incarnation
         pieces = submit.max_tokens
 
-        def give() -> None:
+        def send_piece() -> None:
             if self.running.get(attempt) != incarnation or self.incarnation != incarnation:
                 on_failed(attempt, True, self.incarnation != incarnation)
                 return
@@ -150,13 +157,13 @@
             if last:
                 self.running.pop(attempt, None)
             else:
-                self._piece(submit, index + 1, on_chunk, on_failed)
+                self._schedule_piece(submit, index + 1, on_chunk, on_failed)
 
-        self.clock.after(self.random.uniform(*PIECE_S), give)
+        self.clock.after(self.random.uniform(*PIECE_INTERVAL_S), send_piece)
 
     def cancel(self, attempt: AttemptId) -> None:
         """Stop an attempt."""
         self.running.pop(attempt, None)
 
 
-__all__ = ["FATAL", "PIECES", "Execution", "SimTarget", "expected_answer"]
+__all__ = ["FATAL", "PIECE_COUNT_RANGE", "Execution", "SimTarget", "expected_answer"]
--- a/packages/ochreway-standins/src/ochreway_standins/soak/truth.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/truth.py
@@ -70,16 +70,16 @@
         self.violations.append(f"{self.world.clock.now_s:.3f} {invariant.value}: {detail}")
 
     def _on_arrival(self, process: Process) -> None:
-        for detail in self.backoffs.arrived(process, self.world.clock.now_s):
+        for detail in self.backoffs.check_arrival(process, self.world.clock.now_s):
             self.violate(Invariant.BACKOFF_QUIET, detail)
         limit_per_s = self.world.targets[process.peer.node].limit_per_s
-        for detail in self.limits.arrived(process, limit_per_s, self.world.clock.now_s):
+        for detail in self.limits.check_arrival(process, limit_per_s, self.world.clock.now_s):
             self.violate(Invariant.LIMIT_KEPT, detail)
 
     def _on_notice(self, process: Process, notice: TargetNotice) -> None:
         now_s = self.world.clock.now_s
         if notice.backoff_s is not None:
-            self.backoffs.turned_away(process, notice.backoff_s, now_s)
+            self.backoffs.on_backoff_requested(process, notice.backoff_s, now_s)
         if notice.leaving:
             self._record_leaving_notice(process.peer.node, now_s)
 
@@ -93,7 +93,7 @@
     def _on_hand_over(self, process: Process, order: HandOver) -> None:
         node = process.node
         assert isinstance(node, AgentNode)
-        for detail in self.crashes.handed_over(process.peer.node, order.submit):
+        for detail in self.crashes.check_hand_over(process.peer.node, order.submit):
             self.violate(Invariant.FATAL_QUIET, detail)
         row = node.membership.row
         if row is None:
@@ -150,13 +150,13 @@
 
     def _check_drained(self, order: HandOver, row: GroupRow, node: NodeId) -> None:
         """Check that no entry sends requests to a hall that it has long known to be drained."""
-        asked = self.callers.asked.get(order.submit.request)
+        asked = self.callers.sent_requests.get(order.submit.request)
         if asked is None:
             return
         # An update that has just arrived may have restored the hall.
-        self.halls.look()
+        self.halls.observe()
         entry = order.submit.attempt.entry
-        known_s = self.halls.known_for_s(entry, hall_of(node), asked.asked_s)
+        known_s = self.halls.known_for_s(entry, hall_of(node), asked.sent_s)
         if known_s > self.world.shape.timing.hall_drain_s + CHECK_SLACK_S:
             detail = f"{row.group}: {node} is in a hall drained for {known_s:.1f} s at {entry}"
             self.violate(Invariant.DRAINED_QUIET, detail)
@@ -177,8 +177,8 @@
 
     def check_table(self) -> None:
         """Check that the table assigns each instance to at most one group."""
-        self.halls.look()
-        self.crashes.look()
+        self.halls.observe()
+        self.crashes.observe()
         groups: dict[str, str] = {}
         rows = self.world.platform.table.rows
         for key, row in rows.items():
@@ -202,7 +202,7 @@
         for execution in self.world.executions:
             run_counts[execution.request] = run_counts.get(execution.request, 0) + 1
         run_counts_by_key: dict[str, int] = {}
-        for asked in self.callers.asked.values():
+        for asked in self.callers.sent_requests.values():
             request = asked.request
             run_count = run_counts.get(request.request, 0)
             if asked.finishes > 1:
--- a/packages/ochreway-standins/src/ochreway_standins/timings.py
+++ b/packages/ochreway-standins/src/ochreway_standins/timings.py
@@ -77,7 +77,7 @@
     callers = Callers(world)
     faults = Faults(world, callers, Truth(world, callers))
     last = [0.0]
-    callers.ask_until(ROLL_AT_S + 20.0, 0.02)
+    callers.send_until(ROLL_AT_S + 20.0, 0.02)
     node = faults.pick_leader()
     leaving = world.processes[node]
 
--- a/tests/nodes/test_fatalrequest.py
+++ b/tests/nodes/test_fatalrequest.py
@@ -25,7 +25,7 @@
                 self.assertLessEqual(bodies.count(body), MAX_SENDS)
             kinds |= {
                 tracked.request.kind
-                for tracked in run.callers.asked.values()
+                for tracked in run.callers.sent_requests.values()
                 if tracked.request.body.startswith(FATAL)
             }
         self.assertEqual(2, len(kinds))
@@ -35,7 +35,7 @@
         run.go()
         reasons = [
             tracked.finish.reason.value
-            for tracked in run.callers.asked.values()
+            for tracked in run.callers.sent_requests.values()
             if tracked.request.body.startswith(FATAL) and tracked.finish is not None
         ]
         self.assertGreater(reasons.count("ends_targets"), len(reasons) // 2)
--- a/tests/nodes/test_halldrain.py
+++ b/tests/nodes/test_halldrain.py
@@ -83,7 +83,7 @@
         )
 
     def test_groups_move_out_of_a_drained_hall_and_back_when_it_is_restored(self) -> None:
-        self.halls.want(OTHER_HALL)
+        self.halls.set_drained(OTHER_HALL)
         min_serving = 4
         for tenth in range(int(EMPTY_WITHIN_S * 10)):
             self.run_until(DRAIN_S + tenth / 10)
@@ -94,20 +94,20 @@
         self.assertGreaterEqual(min_serving, 1)
         self.assertEqual([], self.groups_in_drained_hall())
         self.assertEqual({"care-0", "care-1", "roster-1"}, self.serving())
-        self.halls.want()
+        self.halls.set_drained()
         self.run_until(DRAIN_S + EMPTY_WITHIN_S + SERVES_WITHIN_S)
         self.assertEqual({"care-0", "care-1", "roster-0", "roster-1"}, self.serving())
         self.assertEqual(["roster-0"], self.groups_in_drained_hall())
 
     def test_a_hall_restored_within_the_grace_period_loses_no_group(self) -> None:
-        self.halls.want(OTHER_HALL)
-        self.world.clock.at(DRAIN_S + 0.6, self.halls.want)
+        self.halls.set_drained(OTHER_HALL)
+        self.world.clock.at(DRAIN_S + 0.6, self.halls.set_drained)
         self.run_until(DRAIN_S + EMPTY_WITHIN_S)
         self.assertEqual({"care-0", "care-1", "roster-0", "roster-1"}, self.serving())
         self.assertIn("roster-0", self.groups_in_drained_hall())
 
     def test_the_next_lease_holder_continues_the_drain(self) -> None:
-        self.halls.want(OTHER_HALL)
+        self.halls.set_drained(OTHER_HALL)
         self.run_until(DRAIN_S + 1.5)
         holder = next(
             process
@@ -120,7 +120,7 @@
         self.assertEqual({"care-0", "care-1", "roster-1"}, self.serving())
 
     def test_without_the_table_entries_stop_sending_after_the_grace_period(self) -> None:
-        self.halls.want(OTHER_HALL)
+        self.halls.set_drained(OTHER_HALL)
         table_down_s = DRAIN_S + 2.0
         self.world.clock.at(table_down_s, partial(setattr, self.world.platform, "mode", Mode.DOWN))
         self.run_until(table_down_s)
@@ -132,12 +132,12 @@
 
     def test_without_the_table_from_the_start_nothing_changes(self) -> None:
         self.world.platform.mode = Mode.DOWN
-        self.halls.want(OTHER_HALL)
+        self.halls.set_drained(OTHER_HALL)
         self.run_until(DRAIN_S + EMPTY_WITHIN_S)
         self.assertEqual({"care-0", "care-1", "roster-0", "roster-1"}, self.serving())
 
     def test_an_entry_started_during_a_drain_sends_nothing_to_the_hall(self) -> None:
-        self.halls.want(OTHER_HALL)
+        self.halls.set_drained(OTHER_HALL)
         self.run_until(DRAIN_S + 2.0)
         name = NodeId("entry-2")
         self.world.kill(name, whole_instance=False)
@@ -152,9 +152,9 @@
         self.assertTrue(self.sends_nothing_to_drained_hall(process, node))
 
     def test_a_late_message_does_not_drain_a_restored_hall(self) -> None:
-        self.halls.want(OTHER_HALL)
+        self.halls.set_drained(OTHER_HALL)
         self.run_until(DRAIN_S + 2.0)
-        self.halls.want()
+        self.halls.set_drained()
         self.run_until(DRAIN_S + 5.0)
         late = HallsUpdate(DrainedHalls(1, (OTHER_HALL,)))
         for process, node in self.entries():
@@ -172,6 +172,6 @@
                 table_read(process, effect)
 
         self.world._effect_handlers[TableRead] = read_unless_cut_off
-        self.halls.want(OTHER_HALL)
+        self.halls.set_drained(OTHER_HALL)
         self.run_until(DRAIN_S + 10.0)
         self.assertEqual({1}, {node.drains.newest.version for _, node in self.entries()})
