--- a/packages/ochreway-standins/src/ochreway_standins/soak/backofftruth.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/backofftruth.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which targets asked their agents to be left alone, and what came all the same."""
+"""Backoffs that targets requested from their agents, and what reached them nevertheless."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -8,14 +8,14 @@
 from ochreway_standins.soak.process import Process
 
 IN_TRANSIT_GRACE_S = 0.5
-"""After how long nothing may be on its way any more."""
+"""Time after which nothing sent before the backoff may still be in transit."""
 MAX_ARRIVALS = 2
-"""How much may come all the same in the time that was asked for."""
+"""How many arrivals are tolerated during a backoff."""
 
 
 @dataclass(slots=True)
 class _Backoff:
-    """Hold from when to when a target is to get nothing, and what came."""
+    """Period in which a target must receive nothing, and the number of arrivals in it."""
 
     since_s: float
     until_s: float
@@ -24,17 +24,17 @@
 
 @dataclass(slots=True)
 class BackoffTruth:
-    """Judge by what reaches targets: requests, questions and orders of one life of an agent."""
+    """Check what reaches targets: requests, polls and orders from one incarnation of an agent."""
 
     _backoffs: dict[tuple[NodeId, float], list[_Backoff]] = field(default_factory=dict)
 
     def on_backoff_requested(self, process: Process, backoff_s: float, now_s: float) -> None:
-        """Note that a target turned its agent away and named a time."""
+        """Record that a target refused its agent and requested a backoff."""
         backoffs = self._backoffs.setdefault((process.peer.node, process.born_s), [])
         backoffs.append(_Backoff(now_s + IN_TRANSIT_GRACE_S, now_s + backoff_s))
 
     def check_arrival(self, process: Process, now_s: float) -> Iterator[str]:
-        """Judge something that reaches a target now; at the first too many it is told."""
+        """Check an arrival at a target; report the first one beyond the tolerated number."""
         for backoff in self._backoffs.get((process.peer.node, process.born_s), ()):
             if not backoff.since_s < now_s < backoff.until_s:
                 continue
--- a/packages/ochreway-standins/src/ochreway_standins/soak/callers.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/callers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Callers under virtual time, who retry by key through other entries."""
+"""Callers under virtual time, which retry requests with a key through other entries."""
 
 from dataclasses import dataclass
 from functools import partial
@@ -22,12 +22,12 @@
 MAX_CALLER_SKEW_S = 0.4
 ISSUE_TIME_SHARE = 0.7
 FATAL_INTERVAL_S = (0.1, 0.9)
-"""After how long a request that ends its targets is asked for again."""
+"""Range of the time between two copies of a fatal request."""
 
 
 @dataclass(slots=True)
 class CallerRequest:
-    """Record one request as its caller saw it."""
+    """A request as its caller sees it."""
 
     request: Request
     entry: NodeId
@@ -42,7 +42,7 @@
 
 
 class Callers:
-    """Ask at a steady pace and remember what was answered."""
+    """Send requests at a constant mean rate and record the answers."""
 
     def __init__(self, world: World) -> None:
         self.sent_requests: dict[RequestId, CallerRequest] = {}
@@ -52,7 +52,7 @@
         world.on_finish = self._on_finish
 
     def send_until(self, end_s: float, mean_interval_s: float) -> None:
-        """Ask now and then until a time."""
+        """Send requests at random intervals until a time."""
         if self._world.clock.now_s >= end_s:
             return
         self._send_new()
@@ -118,7 +118,7 @@
             adapter="",
             method="POST",
             path="/x",
-            # Each request asks for something of its own; a caller's retry asks for the same.
+            # Each request has a body of its own; a caller's retry repeats the body.
             body=body or str(key or f"r{len(self.sent_requests)}").encode(),
         )
         sent = CallerRequest(
@@ -136,7 +136,7 @@
         world.post(process, lambda now_s: node.on_request(request, now_s))
 
     def send_fatal(self, body: bytes, service: bool, times: int) -> None:
-        """Ask for what ends its targets, again and again, of any entry."""
+        """Send a request that ends its targets repeatedly, through random entries."""
         if not times:
             return
         rng = self._world.random
@@ -156,7 +156,7 @@
             self._retry(sent)
 
     def entry_died(self, node: NodeId) -> None:
-        """Let the callers of a dead entry ask another one."""
+        """Let the callers of a dead entry retry through another one."""
         for sent in list(self.sent_requests.values()):
             if sent.entry == node and sent.finish is None and not sent.entry_is_dead:
                 sent.entry_is_dead = True
@@ -181,7 +181,7 @@
         self._world.clock.after(RETRY_DELAY_S, again)
 
     def unanswered(self) -> list[CallerRequest]:
-        """Return the requests that have not ended though their entry lives."""
+        """Return the requests that have not ended although their entry is alive."""
         return [
             sent
             for sent in self.sent_requests.values()
--- a/packages/ochreway-standins/src/ochreway_standins/soak/clock.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/clock.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Virtual time: a heap of what happens when."""
+"""Virtual time: a heap of scheduled callbacks."""
 
 import heapq
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 
 
 class Clock:
-    """Run happenings in the order of their time."""
+    """Run callbacks in the order of their scheduled time."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -16,16 +16,16 @@
         self._sequence = 0
 
     def at(self, when_s: float, callback: Callback) -> None:
-        """Have something happen at a time, or now if that has passed."""
+        """Schedule a callback at a time, or now if that time has passed."""
         self._sequence += 1
         heapq.heappush(self._heap, (max(when_s, self.now_s), self._sequence, callback))
 
     def after(self, delay_s: float, callback: Callback) -> None:
-        """Have something happen after a while."""
+        """Schedule a callback after a delay."""
         self.at(self.now_s + delay_s, callback)
 
     def run_until(self, end_s: float) -> None:
-        """Run everything that happens up to a time."""
+        """Run all callbacks scheduled up to a time, and advance the clock to it."""
         while self._heap and self._heap[0][0] <= end_s:
             self.now_s, _, callback = heapq.heappop(self._heap)
             callback()
--- a/packages/ochreway-standins/src/ochreway_standins/soak/crashtruth.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/crashtruth.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which requests are known to end targets, and which entries have had time to hear of it."""
+"""Requests known to be fatal, and the entries that must have been notified of them."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -13,16 +13,16 @@
 
 FATAL_AFTER_CRASHES = 3
 MAX_PROPAGATION_S = 4.0
-"""For how long an entry has to have been undisturbed to be sure to have heard.
+"""Time without disturbance after which an entry must have been notified of a crash.
 
-A word that was lost is told again within 2 s; entries are looked at each half second.
+A lost notice is sent again within 2 s, and entries are observed every 0.5 s.
 """
 MAX_LATE_SENDS = 3
 
 
 @dataclass(slots=True)
 class CrashTruth:
-    """Judge by what targets ran; a crash counts once its entry could have been told of it."""
+    """Check what targets ran; a crash counts if its entry could have been notified of it."""
 
     world: World
     _disturbed_s: dict[NodeId, float] = field(default_factory=dict)
@@ -30,7 +30,7 @@
     _late_sends: Counter[bytes] = field(default_factory=Counter)
 
     def observe(self) -> None:
-        """Note which entries something is done to now."""
+        """Record which entries are disturbed by a fault now."""
         now_s = self.world.clock.now_s
         for process in self.world.entries():
             if self._is_disturbed(process):
@@ -54,7 +54,7 @@
         return self._disturbed_s.get(entry, 0.0)
 
     def check_hand_over(self, leader: NodeId, submit: Submit) -> Iterator[str]:
-        """Judge a request that goes to its target now."""
+        """Check a request that is handed over to its target."""
         if not submit.body.startswith(FATAL):
             return
         self.observe()
@@ -81,7 +81,7 @@
             crashes.append(now_s)
 
     def _can_report(self, leader: NodeId) -> bool:
-        """Tell whether the agent of a target can tell of its end."""
+        """Return whether the agent of a target can report the target's crash."""
         process = self.world.processes[leader]
         target = self.world.targets[leader]
         return process.running and not target.down and not target.broken
--- a/packages/ochreway-standins/src/ochreway_standins/soak/halloperator.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/halloperator.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An operator under virtual time who drains halls and gives them back."""
+"""An operator under virtual time who drains and restores halls."""
 
 from ochreway_core.codec import decode, encode
 from ochreway_core.drainedhalls import UNREAD_HALLS, DrainedHalls
@@ -12,7 +12,7 @@
 
 
 class HallOperator:
-    """Write the wanted set on the condition that it stands as read, until a reading shows it."""
+    """Write the wanted set, if the row is unchanged since it was read, until a read shows it."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -21,7 +21,7 @@
         self._polling = False
 
     def set_drained(self, *halls: HallId) -> None:
-        """Have these halls drained and no others, from now on."""
+        """Drain exactly these halls from now on, and restore all others."""
         self._wanted = halls
         if not self._polling:
             self._polling = True
--- a/packages/ochreway-standins/src/ochreway_standins/soak/halltruth.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/halltruth.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Since when each entry has known of drained halls, to judge what it sends there."""
+"""How long each entry has known of drained halls, to check what it sends there."""
 
 from dataclasses import dataclass, field
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class _KnownDrains:
-    """Hold the word that one process was seen to have, and since when it names each hall."""
+    """The drained halls that a process was seen to know, and since when it has known each."""
 
     process: Process
     version: int = 0
@@ -19,14 +19,14 @@
 
 
 class HallTruth:
-    """Look at every entry's word now and then; a time that is noted is never too early."""
+    """Observe the drained halls of every entry; a recorded time is never earlier than the fact."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         self._known: dict[NodeId, _KnownDrains] = {}
 
     def observe(self) -> None:
-        """Note which halls each entry knows to be drained."""
+        """Record which halls each entry knows to be drained."""
         for process in self._world.entries():
             node = process.node
             assert isinstance(node, EntryNode)
@@ -35,14 +35,14 @@
                 known = self._known[process.peer.node] = _KnownDrains(process)
             latest = node.drains.newest
             if latest.version > known.version + 1:
-                # A hall may have been given back and drained again between two looks.
+                # A hall may have been restored and drained again between two observations.
                 known.since_s = {}
             now_s = self._world.clock.now_s
             known.version = latest.version
             known.since_s = {hall: known.since_s.get(hall, now_s) for hall in latest.halls}
 
     def known_for_s(self, entry: NodeId, hall: HallId, at_s: float) -> float:
-        """Return for how long an entry had known at a time that a hall is drained."""
+        """Return how long an entry had known, at a given time, that a hall was drained."""
         known = self._known.get(entry)
         if known is None or known.process is not self._world.processes.get(entry):
             return 0.0
--- a/packages/ochreway-standins/src/ochreway_standins/soak/limittruth.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/limittruth.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which targets named a limit, and what they got from one life of their agent."""
+"""Rate limits that targets named, and what they received from one incarnation of their agent."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -10,14 +10,14 @@
 WINDOW_S = 4.0
 EXCESS_FACTOR = 1.5
 EXCESS_SLACK = 5
-"""By how much more than its limit a target may get in a span: a factor, and some requests."""
+"""How far a target's limit may be exceeded in a window: by a factor plus some arrivals."""
 LIMIT_GRACE_S = 3.0
-"""Within how long after a target first named its limit it has to be kept."""
+"""Time after a target first named a limit within which it need not be kept yet."""
 
 
 @dataclass(slots=True)
 class _LimitWindow:
-    """Hold since when a target names a limit to one life of its agent, and what came since."""
+    """When a target began to name a limit to one incarnation of its agent, and later arrivals."""
 
     since_s: float
     arrivals_s: list[float] = field(default_factory=list)
@@ -26,14 +26,14 @@
 
 @dataclass(slots=True)
 class LimitTruth:
-    """Judge by what reaches targets: requests, questions and orders of one life of an agent."""
+    """Check what reaches targets: requests, polls and orders from one incarnation of an agent."""
 
     _windows: dict[tuple[NodeId, float], _LimitWindow] = field(default_factory=dict)
 
     def check_arrival(
         self, process: Process, limit_per_s: float | None, now_s: float
     ) -> Iterator[str]:
-        """Judge something that reaches a target now; the first too many is told."""
+        """Check an arrival at a target; report only the first one beyond the limit."""
         key = (process.peer.node, process.born_s)
         if limit_per_s is None:
             self._windows.pop(key, None)
--- a/packages/ochreway-standins/src/ochreway_standins/soak/network.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/network.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Links under virtual time: delayed, cut, reset, disordered."""
+"""Links under virtual time, with delays, cuts, resets and reordering."""
 
 import random
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class Network:
-    """Carry messages in order, hold them while cut, and drop them when a link is reset."""
+    """Deliver messages in order, hold them while a link is cut, drop them when it is reset."""
 
     def __init__(self, clock: Clock, rng: random.Random, reset: Callable[[NodeId, NodeId], None]):
         self._clock = clock
@@ -29,7 +29,7 @@
         self.disorder = False
 
     def send(self, source: NodeId, target: NodeId, deliver: Deliver) -> None:
-        """Carry one message."""
+        """Send a message; while ``disorder`` is set it may be reordered or duplicated."""
         pair = (source, target)
         if pair in self._cut_since_s:
             self._held.setdefault(pair, []).append(deliver)
@@ -45,7 +45,7 @@
         self._clock.at(arrival_s, deliver)
 
     def cut(self, source: NodeId, target: NodeId) -> None:
-        """Stop one direction; the link is reset when that lasts."""
+        """Cut one direction of a link; the link is reset if the cut lasts."""
         pair = (source, target)
         since_s = self._clock.now_s
         self._cut_since_s[pair] = since_s
@@ -60,18 +60,18 @@
         self._clock.after(RESET_AFTER_S, lambda: self._reset_if_still_cut(pair, since_s))
 
     def is_cut(self, source: NodeId, target: NodeId) -> bool:
-        """Tell whether a direction is cut now."""
+        """Return whether a direction is cut now."""
         return (source, target) in self._cut_since_s
 
     def heal(self, source: NodeId, target: NodeId) -> None:
-        """Let one direction through again, with what was held."""
+        """Restore one direction and send the messages that were held."""
         pair = (source, target)
         self._cut_since_s.pop(pair, None)
         for deliver in self._held.pop(pair, []):
             self.send(source, target, deliver)
 
     def heal_all(self) -> None:
-        """Let everything through again."""
+        """Restore all links and the order of messages."""
         for pair in list(self._cut_since_s):
             self.heal(*pair)
         self.disorder = False
--- a/packages/ochreway-standins/src/ochreway_standins/soak/operator.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/operator.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Operators under virtual time, who race to roll bundles."""
+"""Operators under virtual time who roll bundles concurrently."""
 
 import hashlib
 from collections.abc import Callable
@@ -24,7 +24,7 @@
     warm_spares: bool = True,
     standbys: int = 0,
 ) -> bytes:
-    """Return the bundle of a run: two replicas of three, plain services, two organisations."""
+    """Return a bundle: two replicas of three instances, services and two organisations."""
     engine_names = ", ".join(f'"engine-{index}"' for index in range(engines))
     names = ", ".join(f'"service-{index}"' for index in range(services))
     organisations = "".join(
@@ -68,7 +68,7 @@
 
 
 class Operator:
-    """Roll bundles by compare-and-set, settling lost answers by reading back."""
+    """Roll bundles by compare-and-set; read the row back if the answer is lost."""
 
     def __init__(self, world: World, name: str) -> None:
         self._world = world
@@ -76,7 +76,7 @@
         self._changes = 0
 
     def roll(self, body: bytes, done: Callable[[Version | None], None]) -> None:
-        """Roll a bundle; ``done`` is told the version, or ``None`` when it did not land."""
+        """Roll a bundle; call ``done`` with the version, or ``None`` if it was not committed."""
         platform = self._world.platform
         digest = bundle_hash(body)
         platform.bodies[digest] = body
--- a/packages/ochreway-standins/src/ochreway_standins/soak/process.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/process.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A process of the system under virtual time."""
+"""A process under virtual time."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Process:
-    """Hold a node, its clock and whether it runs; what comes while it sleeps waits."""
+    """A node, its clock and its state; events that arrive during a pause wait."""
 
     peer: Peer
     node: AgentNode | EntryNode
@@ -26,12 +26,12 @@
     waiting: list[Event] = field(default_factory=list)
 
     def local_s(self, now_s: float) -> float:
-        """Return what the process's monotonic clock shows."""
+        """Return the time of the process's monotonic clock."""
         return self.clock_offset_s + now_s * self.clock_rate
 
     @property
     def running(self) -> bool:
-        """Tell whether the process handles events now."""
+        """Return whether the process handles events now."""
         return self.alive and not self.paused
 
 
--- a/packages/ochreway-standins/src/ochreway_standins/soak/simplatform.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/simplatform.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The platform under virtual time: down, slow, or losing answers."""
+"""The platform under virtual time, which may be down, slow or lose answers."""
 
 import random
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class Mode(Enum):
-    """Say how the platform fares."""
+    """Failure mode of the platform."""
 
     UP = "up"
     DOWN = "down"
@@ -25,7 +25,7 @@
 
 
 class SimPlatform:
-    """Answer late, not at all, or after the change has landed unseen."""
+    """Answer late, report a failure, or commit a change whose answer is lost."""
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
         self.table = MemoryTable()
@@ -54,7 +54,7 @@
         self._clock.after(self._delay_s(), land)
 
     def commit(self, transaction: Transaction, answer: Callable[[CommitReply], None]) -> None:
-        """Commit a transaction, perhaps long after its writer has given up on it."""
+        """Commit a transaction, possibly long after its writer has given up on it."""
         lost = CommitReply(CommitStatus.LOST)
         if self.mode is Mode.DOWN:
             lands = self._random.random() < 0.2
@@ -82,7 +82,7 @@
         self._clock.after(self._delay_s(), lambda: answer(body))
 
     def list_now(self, answer: Callable[[list[ListedInstance]], None]) -> None:
-        """Read the list as it is now, answered with a lag whatever the table does."""
+        """Read the current list; the answer is delayed in every failure mode of the table."""
         instances = list(self.listed.values())
         self._clock.after(self.list_lag_s, lambda: answer(instances))
 
--- a/packages/ochreway-standins/src/ochreway_standins/soak/simtarget.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/simtarget.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A target under virtual time, which remembers the truth about what it ran."""
+"""A target under virtual time, which records what it ran."""
 
 import random
 from collections.abc import Callable
@@ -17,23 +17,23 @@
 PIECE_COUNT_RANGE = (1, 12)
 PIECE_INTERVAL_S = (0.01, 0.3)
 RESTART_S = (2.0, 4.0)
-"""How long a target takes to come back after its process ended."""
+"""Range of the time until a target restarts after its process has ended."""
 FATAL = b"fatal"
-"""With what the body of a request begins that ends whatever runs it."""
+"""Prefix of the body of a request that ends every target that runs it."""
 
 OnChunk = Callable[[AttemptId, Chunk], None]
 OnFailed = Callable[[AttemptId, bool, bool], None]
-"""Told of an attempt that may have begun or not, and whether its target ended under it."""
+"""Receives an attempt, whether it may have begun, and whether the target ended under it."""
 
 
 def expected_answer(request: str, pieces: int) -> bytes:
-    """Return the answer that a request must get: nobody else's looks like it."""
+    """Return the answer that a request must get; it is unique to the request."""
     return b"".join(f"{request}/{index};".encode() for index in range(pieces))
 
 
 @dataclass(slots=True)
 class Execution:
-    """Record that a target began to run an attempt."""
+    """Start of an attempt on a target."""
 
     request: str
     attempt: AttemptId
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class SimTarget:
-    """Load what it is ordered to and answer in pieces."""
+    """Load the artifacts that it is ordered to load, and answer in pieces."""
 
     clock: Clock
     random: random.Random
@@ -65,11 +65,11 @@
 
     @property
     def loaded(self) -> bool:
-        """Tell whether the target can run what it was ordered to."""
+        """Return whether the target has loaded what it was ordered to."""
         return self.kind is TargetKind.SERVICE or self.clock.now_s >= self.loaded_at_s
 
     def order(self, order: TargetOrder) -> None:
-        """Load what is ordered; a target that checks orders refuses an older epoch."""
+        """Load the ordered artifact; a target that checks orders ignores an older epoch."""
         if self.checks_orders and order.epoch < self.epoch:
             return
         if (order.epoch, order.artifact) == (self.epoch, self.artifact):
@@ -80,7 +80,7 @@
         self.loaded_at_s = self.clock.now_s + load_s
 
     def crash(self) -> None:
-        """Lose everything."""
+        """Lose all state and work, and begin a new incarnation."""
         self.incarnation += 1
         self.epoch, self.artifact, self.loaded_at_s = 0, "", 1.0e9
         self.running.clear()
@@ -88,11 +88,11 @@
 
     @property
     def down(self) -> bool:
-        """Tell whether the target's process has ended and is not back yet."""
+        """Return whether the target's process has ended and has not restarted yet."""
         return self.clock.now_s < self.restarted_at_s
 
     def turn_away(self, duration_s: float, requested_backoff_s: float) -> None:
-        """Turn away all that comes for a while, and ask each time to be left alone for a time."""
+        """Refuse everything for a while, and request a backoff each time."""
         self.busy_until_s, self.requested_backoff_s = (
             self.clock.now_s + duration_s,
             requested_backoff_s,
@@ -100,23 +100,23 @@
 
     @property
     def busy(self) -> bool:
-        """Tell whether the target turns away what comes now."""
+        """Return whether the target refuses everything now."""
         return self.clock.now_s < self.busy_until_s
 
     @property
     def notice(self) -> TargetNotice:
-        """Return what the target says of itself in an answer now."""
+        """Return the notice that the target puts into its answers now."""
         return TargetNotice(
             self.requested_backoff_s if self.busy else None, self.leaving, self.limit_per_s
         )
 
     def end(self) -> None:
-        """End as a process does; it comes back and knows nothing."""
+        """End the process; it restarts later without any state."""
         self.crash()
         self.restarted_at_s = self.clock.now_s + self.random.uniform(*RESTART_S)
 
     def run(self, submit: Submit, on_chunk: OnChunk, on_failed: OnFailed) -> None:
-        """Begin an attempt."""
+        """Start an attempt."""
         attempt = submit.attempt
         if self.down:
             self.clock.after(0.001, lambda: on_failed(attempt, False, False))
--- a/tests/standins/test_soak.py
+++ b/tests/standins/test_soak.py
@@ -9,7 +9,7 @@
 from ochreway_standins.soak.run import Run
 
 BEFORE_LIMITS = [each for each in FAULTS if each != "target_limited"]
-"""The faults that scenarios were drawn from which are kept as they were."""
+"""The faults from which the scenarios below were drawn; a later kind would change them."""
 DIGEST = "from ochreway_standins.soak.run import Run; print(Run(7).go().trace_digest)"
 
 
@@ -48,31 +48,31 @@
         self.assertEqual((), Run(seed, kinds, pairs).go().violations)
 
     def test_shrinking_roll_while_groups_drain(self) -> None:
-        """Found by seed 1: a group no longer named was looked up among those wanted."""
+        """Seed 1: a group that the bundle no longer names was looked up among the wanted ones."""
         self.hold(1, ["roll", "race"], 6)
 
     def test_unknown_attempt_then_no_group(self) -> None:
-        """Found by seed 1: a retried unknown attempt ended as not run."""
+        """Seed 1: a retry after an attempt of unknown outcome ended as not run."""
         self.hold(3, ["target_breaks", "kill_leader", "pause_leader"], 6)
 
     def test_replacement_of_a_released_member(self) -> None:
-        """Found by seed 6: the replacement was released too, for good."""
+        """Seed 6: the replacement of a released member was released too, and never rejoined."""
         self.hold(6, ["stop_agent", "stop_leader"], 6)
 
     def test_stop_of_a_member_that_is_cut_off(self) -> None:
-        """Found by seed 16: a lapsed grant was taken as leave to go."""
+        """Seed 16: a member took the lapse of its grant as permission to stop."""
         self.hold(16, ["cut_off", "stop_agent"], 6)
 
     def test_two_controllers_after_an_outage(self) -> None:
-        """Found by seed 1663: a lease was taken without waiting for it to stand still."""
+        """Seed 1663: a lease was taken over before it was seen unchanged for long enough."""
         self.hold(1663, ["table_down", "pause_holder", "pause_entry"], 5)
 
     def test_members_that_the_new_version_does_not_name(self) -> None:
-        """Found by seed 91: the group was drained and reopened in turn."""
+        """Seed 91: the group was drained and reopened alternately."""
         self.hold(91, ["roll", "restart_many"], 5)
 
     def test_groups_whose_reading_had_no_answer(self) -> None:
-        """Found by seed 316: the next answer, without groups, was taken for that reading's."""
+        """Seed 316: the next answer, which had no groups, was taken for the lost one."""
         self.assertEqual((), Run(316, BEFORE_LIMITS).go().violations)
 
     def test_seeds_hold_with_targets_that_name_limits(self) -> None:
@@ -81,6 +81,6 @@
         self.hold(1, ["target_limited"], 6)
 
     def test_a_target_that_left_has_ended_and_another_life_serves(self) -> None:
-        """Found by seed 245: what a life that had ended said was held against the next one."""
+        """Seed 245: a leave notice of an ended incarnation was applied to the next one."""
         self.assertEqual((), Run(245).go().violations)
         self.hold(84, ["target_leaves", "fatal_request"], 2)
