--- a/packages/ochreway-standins/src/ochreway_standins/soak/run.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/run.py
@@ -138,8 +138,8 @@
         return agent.membership.closed_because(process.local_s(self.world.clock.now_s))
 
     def _check_requests_ended(self) -> None:
-        for asked in self.callers.unanswered():
-            self._report_no_progress(f"{asked.request.request} has not ended")
+        for sent in self.callers.unanswered():
+            self._report_no_progress(f"{sent.request.request} has not ended")
         late_requests = [
             each for each in self.callers.sent_requests.values() if each.sent_s > RECOVERED_FROM_S
         ]
--- a/packages/ochreway-standins/src/ochreway_standins/soak/truth.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/truth.py
@@ -150,13 +150,13 @@
 
     def _check_drained(self, order: HandOver, row: GroupRow, node: NodeId) -> None:
         """Check that no entry sends requests to a hall that it has long known to be drained."""
-        asked = self.callers.sent_requests.get(order.submit.request)
-        if asked is None:
+        sent = self.callers.sent_requests.get(order.submit.request)
+        if sent is None:
             return
         # An update that has just arrived may have restored the hall.
         self.halls.observe()
         entry = order.submit.attempt.entry
-        known_s = self.halls.known_for_s(entry, hall_of(node), asked.sent_s)
+        known_s = self.halls.known_for_s(entry, hall_of(node), sent.sent_s)
         if known_s > self.world.shape.timing.hall_drain_s + CHECK_SLACK_S:
             detail = f"{row.group}: {node} is in a hall drained for {known_s:.1f} s at {entry}"
             self.violate(Invariant.DRAINED_QUIET, detail)
@@ -202,15 +202,15 @@
         for execution in self.world.executions:
             run_counts[execution.request] = run_counts.get(execution.request, 0) + 1
         run_counts_by_key: dict[str, int] = {}
-        for asked in self.callers.sent_requests.values():
-            request = asked.request
+        for sent in self.callers.sent_requests.values():
+            request = sent.request
             run_count = run_counts.get(request.request, 0)
-            if asked.finishes > 1:
+            if sent.finishes > 1:
                 self.violate(Invariant.WHOLE_ANSWER, f"{request.request} ended twice")
-            if asked.finish is not None:
+            if sent.finish is not None:
                 self._check_outcome(
-                    asked.finish.outcome,
-                    asked.answer,
+                    sent.finish.outcome,
+                    sent.answer,
                     request.request,
                     run_count,
                     request.max_tokens,
