--- a/packages/ochreway-direct/src/ochreway_direct/leases/leasekeeper.py
+++ b/packages/ochreway-direct/src/ochreway_direct/leases/leasekeeper.py
@@ -116,13 +116,13 @@
         """
         row = self._lease.row
         was_seen = row is not None and self._peers.was_ever_seen(row.holder.node)
-        return self._timing.peer_silent_s if was_seen else self._timing.lease_unheard_s
+        return self._timing.peer_silent_s if was_seen else self._timing.lease_unseen_timeout_s
 
     async def _acquire(self, now_s: float) -> None:
         self._metrics.count("lease.observed")
         await self._lease.observe(now_s)
         if not self._lease.is_available(now_s, self._takeover_delay_s()):
-            self._observe_due_s = self._loop.time() + self._timing.lease_observed_again_s
+            self._observe_due_s = self._loop.time() + self._timing.lease_observe_interval_s
             return
         if not await self._lease.acquire(now_s):
             self._no_holder_since_s = self._loop.time()
--- a/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
+++ b/packages/ochreway-direct/src/ochreway_direct/relay/relay.py
@@ -78,7 +78,7 @@
             call = await self._admission.admit(request, terms)
             self._check_fatal(call)
             self._budget.earn()
-            self._serving.asked += 1
+            self._serving.admitted += 1
             answer = await self._run(call)
             self._call_log.answered(call, answer.status)
             return answer
@@ -92,9 +92,9 @@
             if request.transport is not None:
                 request.transport.abort()
             raise asyncio.CancelledError from broken
-        except (CallerGone, asyncio.CancelledError) as gone:
+        except (CallerGone, asyncio.CancelledError) as error:
             self._metrics.count(f"refused.{Reason.CALLER_GONE.value}")
-            raise asyncio.CancelledError from gone
+            raise asyncio.CancelledError from error
 
     def _refusal(self, terms: CallerTerms, refused: Refused) -> web.Response:
         headers = self._dialect.refusal(terms.request, refused.retry_after_s)
@@ -119,7 +119,7 @@
             begun_s = asyncio.get_running_loop().time()
             ending = await self._send(call, attempt)
             if ending.response is not None:
-                self._crashes.finished(call)
+                self._crashes.on_completed(call)
                 return ending.response
             self._call_log.attempt_failed(call, attempt, ending, begun_s)
             self._metrics.count(f"attempt.{ending.reason.value}")
@@ -129,7 +129,7 @@
                 self._suspect(attempt.group)
             call.tried.add(attempt.instance)
             if ending.disconnected:
-                await self._crashes.broke_off(call, attempt)
+                await self._crashes.on_disconnected(call, attempt)
             await self._check_retry(call, ending)
             self._metrics.count(f"retry.{ending.reason.value}")
 
@@ -220,8 +220,8 @@
 
     def _max_queued(self, call: Call) -> int:
         tuning = self._tuning
-        begun = call.answer is not None
-        return tuning.max_queued_resuming if begun else tuning.max_queued
+        answer_begun = call.answer is not None
+        return tuning.max_queued_resuming if answer_begun else tuning.max_queued
 
     def _pick_candidate(self, call: Call, now_s: float) -> Attempt | None:
         if call.engine is not None:
@@ -263,7 +263,7 @@
     async def _key_still_valid(self) -> bool:
         """Return whether the key that a call was admitted with may still be trusted."""
         version = self._serving.version
-        return await self._serving.keys_proved() and self._serving.version == version
+        return await self._serving.wait_for_trusted_keys() and self._serving.version == version
 
     async def _send(self, call: Call, attempt: Attempt) -> Ending:
         if call.organisation is not None and not await self._key_still_valid():
