--- a/packages/ochreway-core/src/ochreway_core/attemptledger.py
+++ b/packages/ochreway-core/src/ochreway_core/attemptledger.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What an agent knows of each attempt it was ever sent."""
+"""An agent's record of the attempts that it received."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -11,25 +11,28 @@
 from ochreway_core.peer import Peer
 from ochreway_core.reason import Reason
 
-RETAINED_BYTES = 256 * 1024
-RESUMABLE_S = 10.0
-SWEEP_S = 5.0
+MAX_RETAINED_BYTES = 256 * 1024
+"""Bound on the bytes of one answer that are kept for resumption."""
+RESUME_WINDOW_S = 10.0
+"""For how long a complete answer is kept, as its entry may resume it."""
+SWEEP_INTERVAL_S = 5.0
+"""Interval at which expired attempts are removed."""
 
 
 class AttemptState(Enum):
-    """Say how far an attempt has come at the agent."""
+    """State of an attempt at the agent."""
 
     QUEUED = "queued"
-    HANDED = "handed"
+    HANDED_OVER = "handed"
     DONE = "done"
 
 
 @dataclass(slots=True)
 class Answer:
-    """Keep what an answer holds so far, so that it can be resumed on a new link."""
+    """Keep the latest part of an answer, so that it can be resumed on a new link."""
 
-    kept: bytearray = field(default_factory=bytearray)
-    kept_from: int = 0
+    retained: bytearray = field(default_factory=bytearray)
+    retained_from: int = 0
     tokens: int = 0
     status: int = 0
     content_type: str = ""
@@ -38,27 +41,27 @@
 
     @property
     def length(self) -> int:
-        """Return how many bytes the target has given."""
-        return self.kept_from + len(self.kept)
+        """Return how many bytes the target has sent."""
+        return self.retained_from + len(self.retained)
 
     def add(self, payload: bytes) -> None:
-        """Keep a piece, and forget the oldest bytes beyond the bound."""
-        self.kept += payload
-        excess = len(self.kept) - RETAINED_BYTES
+        """Append a piece and drop the oldest bytes beyond the bound."""
+        self.retained += payload
+        excess = len(self.retained) - MAX_RETAINED_BYTES
         if excess > 0:
-            del self.kept[:excess]
-            self.kept_from += excess
+            del self.retained[:excess]
+            self.retained_from += excess
 
-    def drop(self) -> None:
-        """Forget every byte, but not how many there were."""
-        self.kept_from = self.length
-        self.kept.clear()
+    def drop_bytes(self) -> None:
+        """Drop all bytes, but keep their count."""
+        self.retained_from = self.length
+        self.retained.clear()
 
     def since(self, offset: int) -> bytes | None:
-        """Return what follows the offset, or ``None`` when that is not kept any more."""
-        if not self.kept_from <= offset <= self.length:
+        """Return the bytes from the offset on, or ``None`` if they are no longer retained."""
+        if not self.retained_from <= offset <= self.length:
             return None
-        return bytes(self.kept[offset - self.kept_from :])
+        return bytes(self.retained[offset - self.retained_from :])
 
 
 @dataclass(slots=True)
@@ -66,7 +69,7 @@
     """Hold one attempt's state and answer."""
 
     state: AttemptState
-    forget_s: float
+    forget_after_s: float
     submit: Submit | None = None
     entry: Peer | None = None
     deadline_s: float = 0.0
@@ -76,42 +79,42 @@
 
 
 class AttemptLedger:
-    """Remember attempts until nobody may ask for them again."""
+    """Keep attempts until no entry may ask for them again."""
 
     def __init__(self) -> None:
         self._records: dict[AttemptId, AttemptRecord] = {}
         self._resumable: deque[tuple[float, AttemptRecord]] = deque()
-        self._sweep_s = 0.0
+        self._next_sweep_s = 0.0
 
     def __len__(self) -> int:
         return len(self._records)
 
     def get(self, attempt: AttemptId) -> AttemptRecord | None:
-        """Return what is known of the attempt."""
+        """Return the record of an attempt, or ``None`` without one."""
         return self._records.get(attempt)
 
     def add(self, attempt: AttemptId, record: AttemptRecord) -> None:
-        """Remember a new attempt."""
+        """Add the record of a new attempt."""
         self._records[attempt] = record
 
-    def forget(self, now_s: float) -> None:
-        """Drop the answers of attempts that ended a while ago, and later the attempts."""
+    def expire(self, now_s: float) -> None:
+        """Drop answers whose resume window has passed, and attempts that have expired."""
         while self._resumable and self._resumable[0][0] < now_s:
-            self._resumable.popleft()[1].answer.drop()
-        if now_s < self._sweep_s:
+            self._resumable.popleft()[1].answer.drop_bytes()
+        if now_s < self._next_sweep_s:
             return
-        self._sweep_s = now_s + SWEEP_S
-        old = [
+        self._next_sweep_s = now_s + SWEEP_INTERVAL_S
+        expired = [
             attempt
             for attempt, record in self._records.items()
-            if record.state is AttemptState.DONE and record.forget_s < now_s
+            if record.state is AttemptState.DONE and record.forget_after_s < now_s
         ]
-        for attempt in old:
+        for attempt in expired:
             del self._records[attempt]
 
-    def answered(self, record: AttemptRecord, now_s: float) -> None:
-        """Keep a whole answer for as long as its entry may ask for it again."""
-        self._resumable.append((now_s + RESUMABLE_S, record))
+    def retain_answer(self, record: AttemptRecord, now_s: float) -> None:
+        """Keep a complete answer for the resume window."""
+        self._resumable.append((now_s + RESUME_WINDOW_S, record))
 
 
-__all__ = ["RETAINED_BYTES", "Answer", "AttemptLedger", "AttemptRecord", "AttemptState"]
+__all__ = ["MAX_RETAINED_BYTES", "Answer", "AttemptLedger", "AttemptRecord", "AttemptState"]
--- a/packages/ochreway-core/src/ochreway_core/claimround.py
+++ b/packages/ochreway-core/src/ochreway_core/claimround.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An entry's count of votes on one key."""
+"""An entry's vote count on one idempotency key."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class ClaimState(Enum):
-    """Say how a claim stands."""
+    """State of a claim by the votes so far."""
 
     OPEN = "open"
     WON = "won"
@@ -20,36 +20,36 @@
 
 @dataclass(slots=True)
 class ClaimRound:
-    """Count votes; a claim is won with a majority of every set of homes."""
+    """Count votes; a claim is won with a majority in every set of homes."""
 
-    sets: list[frozenset[NodeId]]
+    home_sets: list[frozenset[NodeId]]
     give_up_s: float
     votes: dict[NodeId, Vote] = field(default_factory=dict)
     holder_outcome: Outcome = Outcome.UNKNOWN
 
     @property
     def homes(self) -> frozenset[NodeId]:
-        """Return every home that is asked."""
-        return frozenset().union(*self.sets)
+        """Return every home that votes."""
+        return frozenset().union(*self.home_sets)
 
-    def voted(self, node: NodeId, vote: Vote, outcome: Outcome) -> None:
-        """Count a vote; the first one of a home stands."""
+    def record_vote(self, node: NodeId, vote: Vote, outcome: Outcome) -> None:
+        """Count a home's vote; only its first one counts."""
         self.votes.setdefault(node, vote)
         if vote is Vote.TAKEN and outcome is Outcome.ANSWERED:
             self.holder_outcome = outcome
 
     def state(self) -> ClaimState:
-        """Return how the claim stands by the votes so far."""
-        if not self.sets:
+        """Return the claim's state by the votes so far."""
+        if not self.home_sets:
             return ClaimState.LOST
-        if all(self._granted(each) >= _majority(each) for each in self.sets):
+        if all(self._granted(each) >= _majority(each) for each in self.home_sets):
             return ClaimState.WON
-        if all(self._possible(each) >= _majority(each) for each in self.sets):
+        if all(self._possible(each) >= _majority(each) for each in self.home_sets):
             return ClaimState.OPEN
-        return self.state_at_last()
+        return self.final_state()
 
-    def state_at_last(self) -> ClaimState:
-        """Return what a claim that can no longer be won came to."""
+    def final_state(self) -> ClaimState:
+        """Return the state of a claim that can no longer be won."""
         taken = Vote.TAKEN in self.votes.values()
         return ClaimState.TAKEN if taken else ClaimState.LOST
 
--- a/packages/ochreway-direct/src/ochreway_direct/crashes/crashkeeper.py
+++ b/packages/ochreway-direct/src/ochreway_direct/crashes/crashkeeper.py
@@ -80,13 +80,13 @@
     async def run(self) -> None:
         """Read all rows, then write pending changes until cancelled."""
         while not await self._restore():
-            await asyncio.sleep(self._backoff.failed())
+            await asyncio.sleep(self._backoff.next_delay_s())
         while True:
             await self._wait()
             if self._holds_lease():
                 self._pending.update(dict.fromkeys(set(self._book.fatal()) - self._stored))
             if self._pending and not await self._write(list(self._pending)[:MAX_ROWS_PER_WRITE]):
-                await asyncio.sleep(self._backoff.failed())
+                await asyncio.sleep(self._backoff.next_delay_s())
             if self._holds_lease() and self._loop.time() - self._refreshed_s >= REFRESH_INTERVAL_S:
                 await self._refresh_rows()
 
@@ -117,7 +117,7 @@
             self._metrics.count("crash.rows_unavailable")
             self._log.detail("fatal_rows_unavailable", cause=error)
             return None
-        self._backoff.succeeded()
+        self._backoff.reset()
         return {
             key: decoded_row for key, row in rows.items() if (decoded_row := self._decode(key, row))
         }
@@ -154,7 +154,7 @@
         committed = reply.status is CommitStatus.COMMITTED
         self._metrics.count("crash.rows_written" if committed else "crash.rows_unavailable")
         if committed:
-            self._backoff.succeeded()
+            self._backoff.reset()
         return committed
 
     async def _refresh_rows(self) -> None:
--- a/packages/ochreway-direct/src/ochreway_direct/lists/listfollower.py
+++ b/packages/ochreway-direct/src/ochreway_direct/lists/listfollower.py
@@ -60,8 +60,8 @@
             reading = await self._source.poll(self._timing.list_wait_s)
         except PlatformError as error:
             self._on_error(error, polled_s)
-            return self._backoff.failed()
-        self._backoff.succeeded()
+            return self._backoff.next_delay_s()
+        self._backoff.reset()
         self._health.on_answer(polled_s, self._loop.time())
         self._unavailable.over(self._loop.time())
         self._record_unreadable(reading.unreadable)
--- a/packages/ochreway-nodes/src/ochreway_nodes/agent/serving.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/agent/serving.py
@@ -192,7 +192,7 @@
         assert gate is not None
         assert record.submit is not None
         # An attempt counts as handed over if in doubt, so the state changes before the effect.
-        record.state = AttemptState.HANDED
+        record.state = AttemptState.HANDED_OVER
         submit = record.submit
         self._handed_over[submit.attempt] = record
         self.meter.record_start(submit.attempt, submit.blocks, work.prefill_tokens, now_s)
@@ -203,7 +203,7 @@
     def may_hand_over(self, order: HandOver, now_s: float) -> bool:
         """Return whether a hand-over may still happen; checked right before it."""
         record = self.ledger.get(order.submit.attempt)
-        if record is None or record.state is not AttemptState.HANDED:
+        if record is None or record.state is not AttemptState.HANDED_OVER:
             return False
         row = self._membership.row
         same_epoch = row is not None and row.epoch == order.submit.epoch
@@ -213,7 +213,7 @@
     def on_hand_over_missed(self, attempt: AttemptId, now_s: float) -> None:
         """End an attempt that was not handed to the target in time."""
         record = self.ledger.get(attempt)
-        if record is not None and record.state is AttemptState.HANDED:
+        if record is not None and record.state is AttemptState.HANDED_OVER:
             self._free_slot(record, now_s)
             self._end_attempt(record, Outcome.NOT_RUN, Reason.HAND_OVER_LATE, CLOSED_RETRY_AFTER_S)
 
@@ -222,7 +222,7 @@
     def on_chunk(self, attempt: AttemptId, chunk: Chunk, now_s: float) -> None:
         """Forward a chunk of the target's answer to the entry."""
         record = self.ledger.get(attempt)
-        if record is None or record.state is not AttemptState.HANDED:
+        if record is None or record.state is not AttemptState.HANDED_OVER:
             return
         answer = record.answer
         offset = answer.length
@@ -248,14 +248,14 @@
             self._free_slot(record, now_s)
             record.state = AttemptState.DONE
             record.outcome = Outcome.ANSWERED
-            self.ledger.answered(record, now_s)
+            self.ledger.retain_answer(record, now_s)
         if chunk.last or not offset:
             self.dispatch(now_s)
 
     def on_turned_away(self, attempt: AttemptId, now_s: float) -> None:
         """End an attempt that the target refused without beginning it."""
         record = self.ledger.get(attempt)
-        if record is None or record.state is not AttemptState.HANDED:
+        if record is None or record.state is not AttemptState.HANDED_OVER:
             return
         self._free_slot(record, now_s)
         backoff_s = self._membership.backoff_s(now_s)
@@ -275,7 +275,7 @@
             ended: True if the target's process ended while running the attempt.
         """
         record = self.ledger.get(attempt)
-        if record is None or record.state is not AttemptState.HANDED:
+        if record is None or record.state is not AttemptState.HANDED_OVER:
             return
         self._free_slot(record, now_s)
         outcome = Outcome.UNKNOWN if started else Outcome.NOT_RUN
@@ -293,7 +293,7 @@
     def may_read(self, attempt: AttemptId) -> bool:
         """Return whether more of the attempt's answer may be read from the target."""
         record = self.ledger.get(attempt)
-        if record is None or record.state is not AttemptState.HANDED:
+        if record is None or record.state is not AttemptState.HANDED_OVER:
             return True
         return record.answer.length - record.answer.passed < ANSWER_WINDOW_BYTES
 
@@ -357,7 +357,7 @@
             self._withdraw_queued(
                 sender, Withdraw(message.attempt, self._membership.incarnation, 0), record
             )
-        elif record.state is AttemptState.HANDED:
+        elif record.state is AttemptState.HANDED_OVER:
             self._abort(message.attempt, record, Reason.CALLER_GONE, now_s)
         self.dispatch(now_s)
 
@@ -390,7 +390,7 @@
                 # Its entry would have cancelled the attempt by now, so the entry is lost.
                 self._abort(attempt, record, Reason.DEADLINE_PASSED, now_s)
         self.dispatch(now_s)
-        self.ledger.forget(now_s)
+        self.ledger.expire(now_s)
 
     def _free_slot(self, record: AttemptRecord, now_s: float) -> None:
         submit = record.submit
@@ -402,7 +402,7 @@
     def _end_attempt(
         self, record: AttemptRecord, outcome: Outcome, reason: Reason, retry_after_s: float
     ) -> None:
-        was_handed_over = record.state is AttemptState.HANDED
+        was_handed_over = record.state is AttemptState.HANDED_OVER
         truthful = (
             outcome is not Outcome.NOT_RUN
             or not was_handed_over
@@ -425,7 +425,7 @@
 
 _WITHDRAW_HANDLERS: dict[AttemptState, Callable[[Serving, Peer, Withdraw, AttemptRecord], None]] = {
     AttemptState.QUEUED: Serving._withdraw_queued,
-    AttemptState.HANDED: Serving._resume,
+    AttemptState.HANDED_OVER: Serving._resume,
     AttemptState.DONE: Serving._withdraw_done,
 }
 
--- a/packages/ochreway-nodes/src/ochreway_nodes/entry/viewkeeper.py
+++ b/packages/ochreway-nodes/src/ochreway_nodes/entry/viewkeeper.py
@@ -35,7 +35,7 @@
 from ochreway_core.signoff import Approval
 from ochreway_core.table import ReadReply, Row
 from ochreway_core.timing import Timing
-from ochreway_core.view import Snapshot, snapshot_of
+from ochreway_core.view import Snapshot, make_snapshot
 from ochreway_nodes.drainstate import DrainState
 from ochreway_nodes.entry.domaingroups import (
     DomainGroups,
@@ -183,7 +183,7 @@
         self._requested_domains = frozenset()
         self._failing = True
         self._outbox.count("view.table_failed")
-        self._not_before_s = now_s + self._backoff.failed()
+        self._not_before_s = now_s + self._backoff.next_delay_s()
 
     def poll_soon(self) -> None:
         """Poll the head and the leases at the next tick."""
@@ -199,7 +199,7 @@
             return
         self._call = None
         self._failing = False
-        self._backoff.succeeded()
+        self._backoff.reset()
         self._apply_halls_row(reply.rows, now_s)
         self._apply_head(reply.rows, now_s)
         self._apply_domains(reply.rows, now_s)
@@ -287,7 +287,7 @@
     def _try_apply(self, now_s: float) -> None:
         if self._pending_roll is None or self._pending_body is None or not self._pending_approvals:
             return
-        snapshot = snapshot_of(self._pending_roll, self._pending_body, self._pending_approvals)
+        snapshot = make_snapshot(self._pending_roll, self._pending_body, self._pending_approvals)
         self._pending_roll, self._pending_body, self._pending_approvals = None, None, ()
         self.apply(snapshot, now_s)
 
--- a/tests/nodes/test_planner.py
+++ b/tests/nodes/test_planner.py
@@ -74,7 +74,7 @@
             standbys=tuple(peer(standby) for standby in str(more.get("standbys", ""))),
         )
         self.rows.groups[row.group] = row
-        for assigned in row.everyone:
+        for assigned in row.all_peers:
             self.rows.instances[assigned.node] = InstanceRow(assigned.node, row.group, row.epoch)
         self.report(row)
         return row
