--- a/packages/ochreway-runtime/src/ochreway_runtime/linewriter.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/linewriter.py
@@ -1,27 +1,27 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Writing lines without ever waiting for whoever reads them."""
+"""Writing of log lines that never blocks on a slow reader."""
 
 import atexit
 import threading
 from collections import deque
 from typing import TextIO
 
-LINES_AT_MOST = 2000
-"""How many lines may wait to be written: some seconds of a busy process, under 1 MB."""
-CLOSE_S = 0.3
-"""How long an ending process tries to write what still waits."""
+MAX_QUEUED_LINES = 2000
+"""Bounds the lines that wait to be written: several seconds of a busy process, under 1 MB."""
+FLUSH_TIMEOUT_S = 0.3
+"""Bounds how long an exiting process tries to write its queued lines."""
 
 
 class LineWriter:
-    """Hand lines to a thread that writes them; drop and count them while too many wait.
+    """Pass lines to a thread that writes them; drop and count lines while the queue is full.
 
-    A pipe that nobody reads blocks its writer. Here that is only the thread.
+    A pipe that nobody reads blocks its writer, so only the thread writes to it.
     """
 
-    def __init__(self, stream: TextIO, lines_at_most: int = LINES_AT_MOST) -> None:
+    def __init__(self, stream: TextIO, max_queued_lines: int = MAX_QUEUED_LINES) -> None:
         self._stream = stream
         self._lines: deque[str] = deque()
-        self._lines_at_most = lines_at_most
+        self._max_queued_lines = max_queued_lines
         self._lock = threading.Lock()
         self._wake = threading.Event()
         self._idle = threading.Event()
@@ -30,8 +30,8 @@
         self._thread: threading.Thread | None = None
 
     def write(self, line: str) -> bool:
-        """Queue a line; return whether there was room for it."""
-        if len(self._lines) >= self._lines_at_most:
+        """Queue a line; return False if the queue is full and the line was dropped."""
+        if len(self._lines) >= self._max_queued_lines:
             self._dropped += 1
             return False
         with self._lock:
@@ -43,13 +43,13 @@
         return True
 
     def take_dropped(self) -> int:
-        """Return how many lines were dropped since this was last asked."""
+        """Return how many lines were dropped since the last call."""
         dropped, self._dropped = self._dropped, 0
         return dropped
 
-    def flush(self, within_s: float = CLOSE_S) -> bool:
-        """Wait a little until all lines are written; return whether they are."""
-        return self._idle.wait(within_s)
+    def flush(self, timeout_s: float = FLUSH_TIMEOUT_S) -> bool:
+        """Wait up to ``timeout_s`` for all lines to be written; return whether they were."""
+        return self._idle.wait(timeout_s)
 
     def _start(self) -> None:
         self._thread = threading.Thread(target=self._run, name="log-writer", daemon=True)
@@ -60,22 +60,22 @@
         while True:
             self._wake.wait()
             self._wake.clear()
-            waiting = []
+            queued = []
             while self._lines:
-                waiting.append(self._lines.popleft())
-            if waiting:
-                self._put("\n".join(waiting) + "\n")
+                queued.append(self._lines.popleft())
+            if queued:
+                self._write_to_stream("\n".join(queued) + "\n")
             with self._lock:
                 if not self._lines:
                     self._idle.set()
 
-    def _put(self, text: str) -> None:
+    def _write_to_stream(self, text: str) -> None:
         try:
             self._stream.write(text)
             self._stream.flush()
         except (OSError, ValueError):
-            # Nobody can be told that nothing can be written; the lines count as dropped.
+            # A log that cannot be written cannot report this; count its lines as dropped.
             self._dropped += text.count("\n")
 
 
-__all__ = ["LINES_AT_MOST", "LineWriter"]
+__all__ = ["MAX_QUEUED_LINES", "LineWriter"]
