--- a/packages/ochreway-platform/src/ochreway_platform/httpobjectstore.py
+++ b/packages/ochreway-platform/src/ochreway_platform/httpobjectstore.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The object store over HTTP."""
+"""Object store accessed over HTTP."""
 
 import aiohttp
 
@@ -8,7 +8,7 @@
 
 
 class HttpObjectStore(ObjectStore):
-    """Get and put objects at a base address."""
+    """Get and put objects below a base URL."""
 
     def __init__(self, session: aiohttp.ClientSession, base_url: str, timeout_s: float) -> None:
         self._session = session
@@ -23,18 +23,18 @@
                     raise ObjectMissing(name)
                 response.raise_for_status()
                 return await response.read()
-        except (TimeoutError, aiohttp.ClientError, OSError) as fault:
-            raise ObjectStoreUnavailable(str(fault)) from fault
+        except (TimeoutError, aiohttp.ClientError, OSError) as error:
+            raise ObjectStoreUnavailable(str(error)) from error
 
     async def put(self, name: str, content: bytes) -> None:
-        """Keep an object."""
+        """Store an object."""
         try:
             async with self._session.put(
                 self._url(name), data=content, timeout=self._timeout
             ) as response:
                 response.raise_for_status()
-        except (TimeoutError, aiohttp.ClientError, OSError) as fault:
-            raise ObjectStoreUnavailable(str(fault)) from fault
+        except (TimeoutError, aiohttp.ClientError, OSError) as error:
+            raise ObjectStoreUnavailable(str(error)) from error
 
     def _url(self, name: str) -> str:
         return f"{self._base_url}/objects/{name}"
--- a/packages/ochreway-runtime/src/ochreway_runtime/option.py
+++ b/packages/ochreway-runtime/src/ochreway_runtime/option.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Settings as flags and environment variables of a command."""
+"""Declaration of settings as flags and environment variables of a command."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -9,7 +9,7 @@
 F = TypeVar("F", bound=Callable[..., Any])
 
 
-def option(flag: str, default: Any, text: str, **more: Any) -> Callable[[F], F]:
+def option(flag: str, default: Any, text: str, **extra_options: Any) -> Callable[[F], F]:
     """Declare a setting as a flag and an environment variable."""
     variable = "OCHREWAY_" + flag.removeprefix("--").replace("-", "_").upper()
     return click.option(
@@ -19,7 +19,7 @@
         show_envvar=True,
         show_default=True,
         help=text,
-        **more,
+        **extra_options,
     )
 
 
