--- a/tests/cli/test_porcelain.py
+++ b/tests/cli/test_porcelain.py
@@ -22,7 +22,7 @@
 
 
 class FlakyTable(MemoryTable):
-    """Lose answers as told: whether each commit lands before its answer is lost."""
+    """Loses commit replies; each item of ``losses`` says whether that commit is applied first."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -44,20 +44,20 @@
         super().setUp()
         self.table = FlakyTable()
         self.porcelain = Porcelain(self.table, MemoryObjectStore(), ScopeId("main"))
-        self.patch(settle, "PAUSE_S", 0.0)
+        self.patch(settle, "RETRY_DELAY_S", 0.0)
 
     def approved(self, body: bytes = BODY) -> str:
-        async def work() -> str:
+        async def submit_and_approve() -> str:
             row = await self.porcelain.submit(body, "ann")
             await self.porcelain.approve(row.bundle, "bo", KEY)
             return row.bundle
 
-        return asyncio.run(work())
+        return asyncio.run(submit_and_approve())
 
     def roll(self, digest: str, seen: int | None = None) -> int:
         return asyncio.run(self.porcelain.roll(digest, "ann", seen)).roll.version
 
-    def test_versions_go_up_and_back_is_a_new_one(self) -> None:
+    def test_rolling_back_creates_a_new_version(self) -> None:
         first, second = self.approved(), self.approved(SECOND)
         self.assertEqual([1, 2, 3], [self.roll(first), self.roll(second), self.roll(first)])
 
@@ -102,7 +102,7 @@
         rolls = [key for key in self.table.rows if key.startswith("roll/")]
         self.assertEqual(1, len(rolls))
 
-    def test_table_that_never_says(self) -> None:
+    def test_roll_with_unknown_outcome_raises_fate_unknown(self) -> None:
         digest = self.approved()
         self.table.losses = [False] * 20
         self.assertRaises(FateUnknown, self.roll, digest)
