--- a/packages/ochreway-daemon/src/ochreway_daemon/shell.py
+++ b/packages/ochreway-daemon/src/ochreway_daemon/shell.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The task that owns a node: events come as messages, effects go out."""
+"""Process shell of a node: delivers events to the node and performs its effects."""
 
 import asyncio
 from collections import deque
@@ -24,24 +24,24 @@
 
 
 class Node(Protocol):
-    """What a shell needs of a node."""
+    """Interface that a shell requires of a node."""
 
     @property
     def version(self) -> Version:
-        """Return the configuration version in force."""
+        """Return the current configuration version."""
 
     def take(self) -> list[Effect]:
-        """Return the effects asked for."""
+        """Return and clear the effects that the node requests."""
 
     def on_message(self, sender: Peer, version: Version, message: object, now_s: float) -> None:
-        """Handle a message."""
+        """Handle a message from another process."""
 
     def on_tick(self, now_s: float) -> None:
-        """Do what is due."""
+        """Perform the actions that are due."""
 
 
 class Shell:
-    """Run one node: its mailbox, its links, its timer, its counters."""
+    """Run one node with its mailbox, links, timer and counters."""
 
     def __init__(
         self,
@@ -67,8 +67,8 @@
                 client_context(settings),
             ),
             lambda: node.version,
-            self._received,
-            self._link_down,
+            self._on_batch,
+            self._handle_link_down,
         )
         self.effects: dict[type, EffectHandler] = {
             Send: self._send,
@@ -77,22 +77,22 @@
         }
         self._node = node
         self._mailbox: deque[EventHandler] = deque()
-        self._mail = asyncio.Event()
+        self._mailbox_filled = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
-        invariants.set_reporter(self._violated)
+        invariants.set_reporter(self._on_invariant_violated)
 
-    def _violated(self, invariant: invariants.Invariant, detail: str) -> None:
+    def _on_invariant_violated(self, invariant: invariants.Invariant, detail: str) -> None:
         self.metrics.count(f"invariant.{invariant.value}")
         self.log.fault("invariant_violated", invariant=invariant.value, detail=detail)
 
     def post(self, event: EventHandler) -> None:
         """Put an event into the node's mailbox."""
         self._mailbox.append(event)
-        self._mail.set()
+        self._mailbox_filled.set()
 
-    def spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
-        """Run a task of this process until it ends or the process stops."""
-        task = asyncio.create_task(work)
+    def spawn(self, coroutine: Coroutine[None, None, None]) -> asyncio.Task[None]:
+        """Start a task that runs until it ends or the process stops."""
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -100,27 +100,27 @@
     def _send(self, effect: Send) -> None:
         self.links.send(effect.peer, effect.message)
 
-    def _received(self, sender: Peer, batch: Batch) -> None:
+    def _on_batch(self, sender: Peer, batch: Batch) -> None:
         def handle(now_s: float) -> None:
             for message in batch.messages:
                 self._node.on_message(sender, batch.version, message, now_s)
 
         self.post(handle)
 
-    def _link_down(self, node: NodeId) -> None:
+    def _handle_link_down(self, node: NodeId) -> None:
         self.metrics.count("link.down")
         self.log.detail("link_down", peer=node)
         self.on_link_down(node)
 
     def on_link_down(self, node: NodeId) -> None:
-        """Tell the node of a lost link, where it needs to know."""
+        """Notify the node of a lost link; does nothing unless overridden."""
 
-    async def own_node(self) -> None:
-        """Handle events one by one and carry out the effects of each."""
+    async def run_mailbox(self) -> None:
+        """Handle events one at a time and perform the effects of each."""
         loop = asyncio.get_running_loop()
         while True:
-            await self._mail.wait()
-            self._mail.clear()
+            await self._mailbox_filled.wait()
+            self._mailbox_filled.clear()
             while self._mailbox:
                 self._handle(self._mailbox.popleft(), loop.time())
 
@@ -130,15 +130,15 @@
             self.effects[type(effect)](effect)
 
     async def start(self) -> None:
-        """Accept links and begin to tick."""
+        """Accept links and start the mailbox and the timer."""
         host, _, port = self.settings.link_listen.rpartition(":")
         await self.links.listen(host, int(port))
         self.timer.every(self.timing.tick_s, lambda _: self.post(self._node.on_tick))
-        self.spawn(self.own_node())
+        self.spawn(self.run_mailbox())
         self.spawn(self.timer.run())
 
     async def stop(self) -> None:
-        """Close the links and end every task."""
+        """Close the links and cancel all tasks."""
         await self.links.close()
         for task in list(self._tasks):
             task.cancel()
