--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/__main__.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/__main__.py
@@ -19,8 +19,8 @@
 from ochreway_standins.grouplab.experiment import Experiment
 from ochreway_standins.grouplab.reader import experiment_names, read_experiment
 
-STANDING = "as it stands"
-CONFIDENCE = 1.96
+CURRENT_WAY = "as it stands"
+Z_95_PERCENT = 1.96
 """How many standard errors an interval of 95 % reaches to each side."""
 COLUMNS = tuple(each.name for each in fields(DayResult))
 
@@ -32,50 +32,52 @@
         ExperimentError: when a setting is not known, or its value of a wrong type.
     """
     tuning = CoordinatorTuning()
-    if way == STANDING:
+    if way == CURRENT_WAY:
         return tuning
     kinds = {each.name: type(getattr(tuning, each.name)) for each in fields(tuning)}
     for setting in way.split(","):
         name, _, text = setting.partition("=")
         if name not in kinds:
             raise ExperimentError(name, "is no setting of the coordinator")
-        change: dict[str, Any] = {name: _parsed(name, kinds[name], text)}
+        change: dict[str, Any] = {name: _parse_setting(name, kinds[name], text)}
         tuning = replace(tuning, **change)
     return tuning
 
 
-def _parsed(name: str, kind: type, text: str) -> object:
+def _parse_setting(name: str, kind: type, text: str) -> object:
     if kind is bool:
         if text not in ("true", "false"):
             raise ExperimentError(name, "has to be true or false")
         return text == "true"
     try:
         return kind(text)
-    except ValueError as fault:
-        raise ExperimentError(name, f"{text!r} is no {kind.__name__}") from fault
+    except ValueError as error:
+        raise ExperimentError(name, f"{text!r} is no {kind.__name__}") from error
 
 
-def _played(
+def _play_days(
     pool: ProcessPoolExecutor, experiment: Experiment, way: str, seeds: Sequence[int]
 ) -> list[DayResult]:
     number = len(seeds)
     return list(pool.map(play, [experiment] * number, seeds, [tuning_of(way)] * number))
 
 
-def _line(label: str, cells: Iterable[str]) -> str:
+def _format_line(label: str, cells: Iterable[str]) -> str:
     return f"{label:44}" + "".join(f"{cell:>17}" for cell in cells)
 
 
-def _mean(results: list[DayResult], column: str) -> str:
+def _format_mean(results: list[DayResult], column: str) -> str:
     return f"{statistics.fmean(getattr(each, column) for each in results):.3f}"
 
 
-def _difference(results: list[DayResult], standing: list[DayResult], column: str) -> str:
+def _format_difference(results: list[DayResult], baseline: list[DayResult], column: str) -> str:
     """Return the mean difference on the same days, and its interval of 95 %."""
-    pairs = zip(results, standing, strict=True)
-    found = [getattr(new, column) - getattr(old, column) for new, old in pairs]
-    error = statistics.stdev(found) / math.sqrt(len(found)) if len(found) > 1 else math.nan
-    return f"{statistics.fmean(found):+.3f}±{CONFIDENCE * error:.3f}"
+    pairs = zip(results, baseline, strict=True)
+    deltas = [getattr(new, column) - getattr(old, column) for new, old in pairs]
+    standard_error = (
+        statistics.stdev(deltas) / math.sqrt(len(deltas)) if len(deltas) > 1 else math.nan
+    )
+    return f"{statistics.fmean(deltas):+.3f}±{Z_95_PERCENT * standard_error:.3f}"
 
 
 @click.command()
@@ -91,19 +93,23 @@
         experiments = [read_experiment(name) for name in names or experiment_names()]
         for way in ways:
             tuning_of(way)
-    except ExperimentError as fault:
-        raise click.ClickException(str(fault)) from fault
+    except ExperimentError as error:
+        raise click.ClickException(str(error)) from error
     with ProcessPoolExecutor(jobs) as pool:
         for experiment in experiments:
-            click.echo(_line(f"{experiment.name} (seed {seed}, {runs} days)", COLUMNS))
-            standing = _played(pool, experiment, STANDING, seeds)
-            click.echo(_line(STANDING, [_mean(standing, column) for column in COLUMNS]))
-            instant = _played(pool, experiment.with_instant_weights(), STANDING, seeds)
-            click.echo(_line("with weights at once", [_mean(instant, c) for c in COLUMNS]))
+            click.echo(_format_line(f"{experiment.name} (seed {seed}, {runs} days)", COLUMNS))
+            baseline = _play_days(pool, experiment, CURRENT_WAY, seeds)
+            click.echo(
+                _format_line(CURRENT_WAY, [_format_mean(baseline, column) for column in COLUMNS])
+            )
+            instant = _play_days(pool, experiment.with_instant_weights(), CURRENT_WAY, seeds)
+            click.echo(
+                _format_line("with weights at once", [_format_mean(instant, c) for c in COLUMNS])
+            )
             for way in ways:
-                results = _played(pool, experiment, way, seeds)
-                differences = [_difference(results, standing, column) for column in COLUMNS]
-                click.echo(_line(way, differences))
+                results = _play_days(pool, experiment, way, seeds)
+                differences = [_format_difference(results, baseline, column) for column in COLUMNS]
+                click.echo(_format_line(way, differences))
 
 
 if __name__ == "__main__":
--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/day.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/day.py
@@ -19,20 +19,20 @@
 from ochreway_standins.grouplab.groupserver import GroupServer
 from ochreway_standins.grouplab.request import Outcome, Request
 
-NOTICED_S = 0.45
+LOSS_DETECTION_S = 0.45
 """How long callers of a lost group wait: silence of 0.3 s and a probe, as on played days."""
-QUEUED_AT_MOST = 3
+MAX_QUEUED = 3
 """How many requests may wait beside a group's slots (the relay's bound)."""
-PATIENCE_SHARE = 0.1
+MAX_WAIT_FRACTION = 0.1
 """For which share of its objective a request waits for a place (the relay's bound)."""
-RETURNS_S = 0.8
+RETRY_DELAY_S = 0.8
 """After how long a refused caller comes back, once."""
 FIRST_PART_TOKENS = 5.0
-LISTED_LATE_S = 0.8
-BACK_WITHIN_S = (0.2, 1.0)
+LISTING_DELAY_S = 0.8
+RELISTING_DELAY_RANGE_S = (0.2, 1.0)
 WINDOW_S = 2.0
 WORST_WINDOWS = 2
-LEAST_TOKENS = 5.0
+MIN_ANSWER_TOKENS = 5.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Returning:
+class _Retry:
     request: Request
     at_s: float
 
@@ -73,27 +73,27 @@
             spec=self._spec,
         )
         self.world.load_speed = experiment.loads.early_speed
-        self._chance = random.Random(seed)
-        self._turns = random.Random(seed)
+        self._rng = random.Random(seed)
+        self._burst_rng = random.Random(seed)
         self._meter = DemandMeter()
         self.servers: dict[GroupId, GroupServer] = {}
         self._waiting: list[Request] = []
-        self._returning: list[_Returning] = []
+        self._retries: list[_Retry] = []
         self._outcomes: list[tuple[Request, Outcome]] = []
         self._begin_s = self.world.now_s + experiment.lead_s
-        self._dark: list[FakeEngine] = []
-        self._without_holder_s = 0.0
-        self._stranded: list[float] = []
+        self._lost_domain_engines: list[FakeEngine] = []
+        self._holder_absent_s = 0.0
+        self._stranded_shares: list[float] = []
         self._loads = 0
         self._loading: set[tuple[InstanceId, ModelName]] = set()
-        self._traded: set[GroupId] = set()
-        self.bursts = self._drawn(experiment.bursts)
+        self._traded_groups: set[GroupId] = set()
+        self.bursts = self._draw_bursts(experiment.bursts)
         self._events: list[tuple[float, Callable[[], None]]] | None = None
 
     def play(self) -> DayResult:
         """Return what was served."""
         self.play_until(self._experiment.day_s)
-        self._end_rest()
+        self._count_unfinished()
         return self._result()
 
     @property
@@ -106,97 +106,104 @@
         if self._events is None:
             self.world.run(self._experiment.lead_s)
             self.world.load_speed = 1.0
-            self._events = self._all_events()
+            self._events = self._schedule_events()
         events = self._events
         while self.played_s < until_s:
             while events and events[0][0] <= self.world.now_s:
                 events.pop(0)[1]()
-            self._step()
+            self._tick()
 
-    def _drawn(self, bursts: Iterable[Burst]) -> tuple[Burst, ...]:
+    def _draw_bursts(self, bursts: Iterable[Burst]) -> tuple[Burst, ...]:
         """Return bursts at the moments of this day; those of one time come together."""
-        shift_s = self._turns.uniform(0.0, 1.0)
+        shift_s = self._burst_rng.uniform(0.0, 1.0)
         return tuple(replace(each, at_s=each.at_s + shift_s * each.spread_s) for each in bursts)
 
     # What goes wrong.
 
-    def _all_events(self) -> list[tuple[float, Callable[[], None]]]:
+    def _schedule_events(self) -> list[tuple[float, Callable[[], None]]]:
         losses, day_s = self._experiment.losses, self._experiment.day_s
         events: list[tuple[float, Callable[[], None]]] = []
         if losses.domain_for_s:
-            events.append((losses.domain_at_s, self._go_dark))
-            events.append((losses.domain_at_s + losses.domain_for_s, self._come_back))
+            events.append((losses.domain_at_s, self._lose_domain))
+            events.append((losses.domain_at_s + losses.domain_for_s, self._restore_domain))
         if losses.holder_for_s:
             events.append((losses.holder_at_s, self._lose_holder))
         if losses.leaving_share:
-            events.append((losses.leaving_at_s, self._leave))
-        events += [(at, self._lose) for at in self._times(2.0, losses.engine_every_s, day_s - 4.0)]
-        added = self._times(losses.added_from_s, losses.added_every_s, day_s)
-        events += [(at, self._add) for at in added]
+            events.append((losses.leaving_at_s, self._announce_leaving))
+        events += [
+            (at, self._lose_engine)
+            for at in self._draw_times(2.0, losses.engine_every_s, day_s - 4.0)
+        ]
+        added = self._draw_times(losses.added_from_s, losses.added_every_s, day_s)
+        events += [(at, self._add_engine) for at in added]
         timed = [(self._begin_s + at, call) for at, call in events]
         return sorted(timed, key=lambda event: event[0])
 
-    def _times(self, from_s: float, every_s: float, until_s: float) -> list[float]:
-        found: list[float] = []
-        at_s = from_s + every_s * self._chance.uniform(0.0, 0.5)
+    def _draw_times(self, from_s: float, every_s: float, until_s: float) -> list[float]:
+        times_s: list[float] = []
+        at_s = from_s + every_s * self._rng.uniform(0.0, 0.5)
         while every_s and at_s < until_s:
-            found.append(at_s)
-            at_s += every_s * self._chance.uniform(0.7, 1.3)
-        return found
+            times_s.append(at_s)
+            at_s += every_s * self._rng.uniform(0.7, 1.3)
+        return times_s
 
-    def _alive(self) -> list[FakeEngine]:
+    def _alive_engines(self) -> list[FakeEngine]:
         return [each for each in self.world.engines.values() if each.alive]
 
-    def _any_domain(self) -> DomainId:
-        return DomainId(f"d{self._chance.randrange(self._experiment.fleet.domains)}")
+    def _random_domain(self) -> DomainId:
+        return DomainId(f"d{self._rng.randrange(self._experiment.fleet.domains)}")
 
-    def _lose(self) -> None:
-        domain = self._any_domain()
-        alive = [each for each in self._alive() if each.domain == domain] or self._alive()
+    def _lose_engine(self) -> None:
+        domain = self._random_domain()
+        alive = [
+            each for each in self._alive_engines() if each.domain == domain
+        ] or self._alive_engines()
         joined = [each for each in alive if each.membership is not None]
-        self._chance.choice(joined or alive).alive = False
+        self._rng.choice(joined or alive).alive = False
 
-    def _add(self) -> None:
-        self.world.add(self._any_domain()).listed_s = self.world.now_s + LISTED_LATE_S
+    def _add_engine(self) -> None:
+        self.world.add(self._random_domain()).listed_s = self.world.now_s + LISTING_DELAY_S
 
-    def _go_dark(self) -> None:
-        domain = self._any_domain()
-        self._dark = [each for each in self._alive() if each.domain == domain]
-        for engine in self._dark:
+    def _lose_domain(self) -> None:
+        domain = self._random_domain()
+        self._lost_domain_engines = [
+            each for each in self._alive_engines() if each.domain == domain
+        ]
+        for engine in self._lost_domain_engines:
             engine.alive = False
 
-    def _come_back(self) -> None:
-        for engine in self._dark:
-            again = self.world.add(engine.domain, engine.staged)
-            again.listed_s = self.world.now_s + self._chance.uniform(*BACK_WITHIN_S)
+    def _restore_domain(self) -> None:
+        for engine in self._lost_domain_engines:
+            restored = self.world.add(engine.domain, engine.staged)
+            restored.listed_s = self.world.now_s + self._rng.uniform(*RELISTING_DELAY_RANGE_S)
 
-    def _leave(self) -> None:
-        alive = self._alive()
+    def _announce_leaving(self) -> None:
+        alive = self._alive_engines()
         number = int(self._experiment.losses.leaving_share * len(alive))
-        for engine in self._chance.sample(alive, number):
+        for engine in self._rng.sample(alive, number):
             engine.leaving = True
 
     def _lose_holder(self) -> None:
-        self._without_holder_s = self._experiment.losses.holder_for_s
+        self._holder_absent_s = self._experiment.losses.holder_for_s
 
     # A step.
 
-    def _step(self) -> None:
-        if self._without_holder_s <= 0.0:
+    def _tick(self) -> None:
+        if self._holder_absent_s <= 0.0:
             self.world.step()
         else:
             self.world.pass_time(STEP_S)
-            self._without_holder_s -= STEP_S
-            if self._without_holder_s <= 0.0:
+            self._holder_absent_s -= STEP_S
+            if self._holder_absent_s <= 0.0:
                 self._take_over()
         now_s = self.world.now_s
-        self._arrive(now_s)
+        self._add_arrivals(now_s)
         self._update_servers()
-        self._place(now_s)
+        self._assign_requests(now_s)
         for server in self.servers.values():
-            self._outcomes += [(each, _outcome(each)) for each in server.step(now_s, STEP_S)]
+            self._outcomes += [(each, _outcome(each)) for each in server.tick(now_s, STEP_S)]
         self.world.coordinator.demand.update(self._meter.offered(now_s), now_s)
-        self._note()
+        self._record_engine_use()
 
     def _take_over(self) -> None:
         """Let another process go on, which has followed what is offered all the time."""
@@ -205,16 +212,16 @@
         demand = self.world.coordinator.demand
         demand.offered, demand.measured_since_s = followed.offered, followed.measured_since_s
 
-    def _arrive(self, now_s: float) -> None:
+    def _add_arrivals(self, now_s: float) -> None:
         for figures in self._experiment.requests:
             expected = self._rate(figures, now_s - self._begin_s) * STEP_S
-            for _ in range(_poisson(self._chance, expected)):
-                self._waiting.append(self._request(figures, now_s))
-        back = [each.request for each in self._returning if each.at_s <= now_s]
-        self._returning = [each for each in self._returning if each.at_s > now_s]
-        for request in back:
-            request.due_s = now_s + PATIENCE_SHARE * request.figures.objective_ms / 1000
-        self._waiting += back
+            for _ in range(_poisson(self._rng, expected)):
+                self._waiting.append(self._draw_request(figures, now_s))
+        retried = [each.request for each in self._retries if each.at_s <= now_s]
+        self._retries = [each for each in self._retries if each.at_s > now_s]
+        for request in retried:
+            request.due_s = now_s + MAX_WAIT_FRACTION * request.figures.objective_ms / 1000
+        self._waiting += retried
 
     def _rate(self, figures: RequestFigures, at_s: float) -> float:
         wave = self._experiment.wave
@@ -226,37 +233,39 @@
                 rate *= burst.factor
         return rate
 
-    def _request(self, figures: RequestFigures, now_s: float) -> Request:
-        size = _lognormal(self._chance, figures.spread)
-        answer = max(LEAST_TOKENS, figures.answer_tokens * _lognormal(self._chance, figures.spread))
+    def _draw_request(self, figures: RequestFigures, now_s: float) -> Request:
+        size = _lognormal(self._rng, figures.spread)
+        answer = max(
+            MIN_ANSWER_TOKENS, figures.answer_tokens * _lognormal(self._rng, figures.spread)
+        )
         prompt = figures.prompt_tokens * size
         model = ModelName(figures.model)
         guess = int(figures.answer_tokens)
         self._meter.record_work(model, work_s(self._spec, model, int(prompt), guess), now_s)
-        due_s = now_s + PATIENCE_SHARE * figures.objective_ms / 1000
+        due_s = now_s + MAX_WAIT_FRACTION * figures.objective_ms / 1000
         return Request(figures, now_s, prompt, answer, FIRST_PART_TOKENS, due_s)
 
     def _update_servers(self) -> None:
         """Open servers for whole groups; requests of those that are broken go elsewhere."""
-        found: dict[GroupId, GroupServer] = {}
-        shown = {view.group: view for view in self.world.coordinator.views()}
+        open_servers: dict[GroupId, GroupServer] = {}
+        views_by_group = {view.group: view for view in self.world.coordinator.views()}
         for engine in self.world.engines.values():
             membership = engine.membership
-            if membership is None or not self._leads(engine):
+            if membership is None or not self._leads_complete_group(engine):
                 continue
             group = membership.group
             server = self.servers.get(group)
-            if server is None and group in shown:
+            if server is None and group in views_by_group:
                 server = GroupServer(self._spec, self._pace(engine))
             if server is not None:
-                found[group] = server
+                open_servers[group] = server
         for group, server in self.servers.items():
-            if group not in found:
-                self._break(server)
-        self.servers = found
-        self._end_closed()
+            if group not in open_servers:
+                self._retry_interrupted(server)
+        self.servers = open_servers
+        self._finish_closing_groups()
 
-    def _end_closed(self) -> None:
+    def _finish_closing_groups(self) -> None:
         """Let groups that take nothing more go on until their requests have ended."""
         for engine in self.world.engines.values():
             membership = engine.membership
@@ -267,22 +276,22 @@
             if membership.phase is MemberPhase.CLOSING and not server.load:
                 engine.ends_s = self.world.now_s
 
-    def _break(self, server: GroupServer) -> None:
-        again_s = self.world.now_s + NOTICED_S
+    def _retry_interrupted(self, server: GroupServer) -> None:
+        retry_at_s = self.world.now_s + LOSS_DETECTION_S
         for request in server.running:
-            request.broke = request.broke or request.first_s is not None
-            request.prompt_left = request.figures.prompt_tokens
-            self._returning.append(_Returning(request, again_s))
+            request.interrupted = request.interrupted or request.first_part_s is not None
+            request.prompt_tokens_left = request.figures.prompt_tokens
+            self._retries.append(_Retry(request, retry_at_s))
 
-    def _leads(self, engine: FakeEngine) -> bool:
+    def _leads_complete_group(self, engine: FakeEngine) -> bool:
         """Tell whether an engine leads a group that is whole and works on requests."""
         membership = engine.membership
         if not engine.alive or membership is None or membership.rank != 0:
             return False
-        whole = all(self._stands(engine, each) for each in engine.members)
-        return whole and membership.phase.value in ("open", "closing")
+        complete = all(self._is_current_member(engine, each) for each in engine.members)
+        return complete and membership.phase.value in ("open", "closing")
 
-    def _stands(self, leader: FakeEngine, instance: InstanceId) -> bool:
+    def _is_current_member(self, leader: FakeEngine, instance: InstanceId) -> bool:
         member = self.world.engines[instance]
         return member.alive and member.members == leader.members and member.membership is not None
 
@@ -292,45 +301,45 @@
         far = 1.0 if len(domains) == 1 else self._spec.far_factor
         return far * (model.pace if model is not None else 1.0)
 
-    def _place(self, now_s: float) -> None:
-        shown = {view.group: view.model for view in self.world.coordinator.views()}
-        left = []
+    def _assign_requests(self, now_s: float) -> None:
+        models_by_group = {view.group: view.model for view in self.world.coordinator.views()}
+        still_waiting = []
         for request in self._waiting:
-            open_ = [
+            candidates = [
                 server
                 for group, server in self.servers.items()
-                if shown.get(group) == request.figures.model
-                and server.load < self._spec.slots + QUEUED_AT_MOST
+                if models_by_group.get(group) == request.figures.model
+                and server.load < self._spec.slots + MAX_QUEUED
             ]
-            if open_:
-                least = min(open_, key=lambda each: each.pace * (1 + each.load))
-                least.running.append(request)
+            if candidates:
+                least_loaded = min(candidates, key=lambda each: each.pace * (1 + each.load))
+                least_loaded.running.append(request)
             elif now_s < request.due_s:
-                left.append(request)
+                still_waiting.append(request)
             else:
                 self._refuse(request, now_s)
-        self._waiting = left
+        self._waiting = still_waiting
 
     def _refuse(self, request: Request, now_s: float) -> None:
         if request.refused:
             self._outcomes.append((request, Outcome.REFUSED))
             return
         request.refused = True
-        self._returning.append(_Returning(request, now_s + RETURNS_S))
+        self._retries.append(_Retry(request, now_s + RETRY_DELAY_S))
 
-    def _note(self) -> None:
-        alive = self._alive()
+    def _record_engine_use(self) -> None:
+        alive = self._alive_engines()
         used = sum(
             len(each.members)
             for each in alive
             if each.membership is not None and each.membership.group in self.servers
             if each.membership.rank == 0
         )
-        self._stranded.append(1.0 - used / max(1, len(alive)))
+        self._stranded_shares.append(1.0 - used / max(1, len(alive)))
         loading = {(e.instance, e.loading) for e in alive if e.loading is not None}
         self._loads += len(loading - self._loading)
         self._loading = loading
-        self._traded |= {
+        self._traded_groups |= {
             name
             for name, group in self.world.coordinator.groups.items()
             if group.cause.value == "traded"
@@ -338,10 +347,12 @@
 
     # What came of it.
 
-    def _end_rest(self) -> None:
+    def _count_unfinished(self) -> None:
         """Count what is under way by what has become of it so far."""
         for server in self.servers.values():
-            self._outcomes += [(each, _outcome(each)) for each in server.running if each.first_s]
+            self._outcomes += [
+                (each, _outcome(each)) for each in server.running if each.first_part_s
+            ]
 
     def _result(self) -> DayResult:
         offered = sum(request.figures.worth for request, _ in self._outcomes) or 1.0
@@ -349,16 +360,16 @@
         total = max(1, len(self._outcomes))
         return DayResult(
             worth=sum(_worth(*each) for each in self._outcomes) / offered,
-            worst=self._worst(),
+            worst=self._worst_windows_worth(),
             in_time=numbers[Outcome.IN_TIME] / total,
             late=numbers[Outcome.LATE] / total,
             refused=numbers[Outcome.REFUSED] / total,
-            stranded=statistics.fmean(self._stranded),
+            stranded=statistics.fmean(self._stranded_shares),
             loads=float(self._loads),
-            traded=float(len(self._traded)),
+            traded=float(len(self._traded_groups)),
         )
 
-    def _worst(self) -> float:
+    def _worst_windows_worth(self) -> float:
         windows: dict[int, list[tuple[Request, Outcome]]] = {}
         for request, outcome in self._outcomes:
             window = int((request.arrived_s - self._begin_s) / WINDOW_S)
@@ -382,19 +393,19 @@
     }[outcome]
 
 
-def _poisson(chance: random.Random, expected: float) -> int:
+def _poisson(rng: random.Random, expected: float) -> int:
     """Draw how many requests arrive in a step."""
-    limit, product, number = math.exp(-expected), chance.random(), 0
+    limit, product, number = math.exp(-expected), rng.random(), 0
     while product > limit:
-        product *= chance.random()
+        product *= rng.random()
         number += 1
     return number
 
 
-def _lognormal(chance: random.Random, spread: float) -> float:
+def _lognormal(rng: random.Random, spread: float) -> float:
     """Draw a factor with mean 1."""
     sigma = math.sqrt(math.log(1.0 + spread * spread))
-    return chance.lognormvariate(-sigma * sigma / 2, sigma)
+    return rng.lognormvariate(-sigma * sigma / 2, sigma)
 
 
 def play(experiment: Experiment, seed: int, tuning: CoordinatorTuning) -> DayResult:
--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/experiment.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/experiment.py
@@ -6,7 +6,7 @@
 from ochreway_direct.configuration import EngineSpec, ModelSpec
 from ochreway_direct.ids import ModelName
 
-INSTANT_S = 0.05
+INSTANT_LOAD_S = 0.05
 """How long a load takes that is to cost nothing: a step of the laboratory."""
 
 
@@ -121,7 +121,9 @@
         beside it is the price of weights that have to be read. It is no strict bound, as the same
         decisions are taken.
         """
-        models = tuple(replace(m, load_s=INSTANT_S, warm_s=INSTANT_S) for m in self.models)
+        models = tuple(
+            replace(m, load_s=INSTANT_LOAD_S, warm_s=INSTANT_LOAD_S) for m in self.models
+        )
         loads = replace(self.loads, per_s=self.loads.per_s * 100, at_once=self.loads.at_once * 100)
         return replace(self, models=models, loads=loads)
 
--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/groupserver.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/groupserver.py
@@ -18,24 +18,24 @@
         """Return how many requests run or wait here."""
         return len(self.running)
 
-    def step(self, now_s: float, duration_s: float) -> list[Request]:
+    def tick(self, now_s: float, duration_s: float) -> list[Request]:
         """Let time pass; return the requests whose answers have ended."""
         active = self.running[: self._spec.slots]
-        reading = duration_s * self._spec.read_tokens_per_s / self.pace
-        writing = [each for each in active if each.prompt_left <= 0]
+        readable_tokens = duration_s * self._spec.read_tokens_per_s / self.pace
+        generating = [each for each in active if each.prompt_tokens_left <= 0]
         for each in active:
-            read = min(reading, each.prompt_left)
-            each.prompt_left -= read
-            reading -= read
-        tokens = duration_s / (self.pace * self._spec.token_s(max(1, len(writing))))
-        for each in writing:
-            each.answer_left -= tokens
-            each.first_part_tokens -= tokens
-            if each.first_s is None and each.first_part_tokens <= 0:
-                each.first_s = now_s
-        ended = [each for each in writing if each.answer_left <= 0]
+            read = min(readable_tokens, each.prompt_tokens_left)
+            each.prompt_tokens_left -= read
+            readable_tokens -= read
+        tokens = duration_s / (self.pace * self._spec.token_s(max(1, len(generating))))
+        for each in generating:
+            each.answer_tokens_left -= tokens
+            each.first_part_tokens_left -= tokens
+            if each.first_part_s is None and each.first_part_tokens_left <= 0:
+                each.first_part_s = now_s
+        ended = [each for each in generating if each.answer_tokens_left <= 0]
         for each in ended:
-            each.first_s = each.first_s if each.first_s is not None else now_s
+            each.first_part_s = each.first_part_s if each.first_part_s is not None else now_s
         self.running = [each for each in self.running if each not in ended]
         return ended
 
--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/reader.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/reader.py
@@ -11,9 +11,9 @@
 from ochreway_standins.grouplab.experiment import Experiment
 
 T = TypeVar("T")
-EXPERIMENTS = Path(__file__).parent / "experiments"
+EXPERIMENTS_DIR = Path(__file__).parent / "experiments"
 """Where the experiments that come with the laboratory lie."""
-NUMBERS = {int: (int,), float: (int, float)}
+ACCEPTED_NUMBER_TYPES = {int: (int,), float: (int, float)}
 
 
 def read_experiment(name: str) -> Experiment:
@@ -22,24 +22,24 @@
     Raises:
         ExperimentError: when the file cannot be read, or a field is missing, unknown or wrong.
     """
-    path = Path(name) if name.endswith(".toml") else EXPERIMENTS / f"{name}.toml"
+    path = Path(name) if name.endswith(".toml") else EXPERIMENTS_DIR / f"{name}.toml"
     try:
         content = tomllib.loads(path.read_text())
-    except OSError as fault:
-        raise ExperimentError(str(path), f"cannot be read: {fault.strerror}") from fault
-    except tomllib.TOMLDecodeError as fault:
-        raise ExperimentError(str(path), f"is no TOML: {fault}") from fault
-    experiment = _table(Experiment, content, "")
-    _check(experiment)
+    except OSError as error:
+        raise ExperimentError(str(path), f"cannot be read: {error.strerror}") from error
+    except tomllib.TOMLDecodeError as error:
+        raise ExperimentError(str(path), f"is no TOML: {error}") from error
+    experiment = _parse_table(Experiment, content, "")
+    _check_references(experiment)
     return experiment
 
 
 def experiment_names() -> list[str]:
     """Return the names of the experiments that come with the laboratory."""
-    return sorted(path.stem for path in EXPERIMENTS.glob("*.toml"))
+    return sorted(path.stem for path in EXPERIMENTS_DIR.glob("*.toml"))
 
 
-def _table(kind: type[T], content: Any, where: str) -> T:
+def _parse_table(kind: type[T], content: Any, where: str) -> T:
     """Read a table as a dataclass."""
     if not isinstance(content, dict):
         raise ExperimentError(where, "has to be a table")
@@ -47,40 +47,40 @@
     known = {each.name: each for each in fields(kind)}  # type: ignore[arg-type]
     for name in content:
         if name not in known:
-            raise ExperimentError(_path(where, name), "is not known")
+            raise ExperimentError(_field_path(where, name), "is not known")
     values = {}
     for name, each in known.items():
         if name in content:
-            values[name] = _value(hints[name], content[name], _path(where, name))
+            values[name] = _parse_value(hints[name], content[name], _field_path(where, name))
         elif each.default is MISSING:
-            raise ExperimentError(_path(where, name), "is missing")
+            raise ExperimentError(_field_path(where, name), "is missing")
     return kind(**values)
 
 
-def _value(kind: Any, content: Any, where: str) -> Any:
+def _parse_value(kind: Any, content: Any, where: str) -> Any:
     if is_dataclass(kind):
-        return _table(kind, content, where)  # type: ignore[arg-type]
+        return _parse_table(kind, content, where)  # type: ignore[arg-type]
     if get_origin(kind) is tuple or isinstance(kind, types.GenericAlias):
         if not isinstance(content, list):
             raise ExperimentError(where, "has to be a list")
         element = get_args(kind)[0]
-        return tuple(_value(element, each, f"{where}[{n}]") for n, each in enumerate(content))
-    if kind in NUMBERS:
-        return _number(kind, content, where)
+        return tuple(_parse_value(element, each, f"{where}[{n}]") for n, each in enumerate(content))
+    if kind in ACCEPTED_NUMBER_TYPES:
+        return _parse_number(kind, content, where)
     if not isinstance(content, str):
         raise ExperimentError(where, "has to be text")
     return content
 
 
-def _number(kind: type[int] | type[float], content: Any, where: str) -> float:
-    if isinstance(content, bool) or not isinstance(content, NUMBERS[kind]):
+def _parse_number(kind: type[int] | type[float], content: Any, where: str) -> float:
+    if isinstance(content, bool) or not isinstance(content, ACCEPTED_NUMBER_TYPES[kind]):
         raise ExperimentError(where, f"has to be a number ({kind.__name__})")
     if content < 0:
         raise ExperimentError(where, "must not be below 0")
     return kind(content)
 
 
-def _check(experiment: Experiment) -> None:
+def _check_references(experiment: Experiment) -> None:
     """Check what concerns several fields."""
     models = {model.name for model in experiment.models}
     if not models:
@@ -97,8 +97,8 @@
             raise ExperimentError(f"models[{n}].size", "has to fit into a domain")
 
 
-def _path(where: str, name: str) -> str:
+def _field_path(where: str, name: str) -> str:
     return f"{where}.{name}" if where else name
 
 
-__all__ = ["EXPERIMENTS", "experiment_names", "read_experiment"]
+__all__ = ["EXPERIMENTS_DIR", "experiment_names", "read_experiment"]
--- a/tests/standins/test_grouplab.py
+++ b/tests/standins/test_grouplab.py
@@ -18,17 +18,17 @@
 from ochreway_standins.grouplab.__main__ import tuning_of
 from ochreway_standins.grouplab.day import Day, play
 from ochreway_standins.grouplab.errors import ExperimentError
-from ochreway_standins.grouplab.reader import EXPERIMENTS, experiment_names, read_experiment
+from ochreway_standins.grouplab.reader import EXPERIMENTS_DIR, experiment_names, read_experiment
 
 SEEDS = (1, 2, 3)
-HEAVY = CoordinatorTuning(first_start=True)
+FIRST_START_TUNING = CoordinatorTuning(first_start=True)
 
 
 class HeavyDayTests(testtools.TestCase):
     def worth(self, name: str) -> float:
         """Return the mean worth of an experiment's days."""
         experiment = read_experiment(name)
-        return statistics.fmean(play(experiment, seed, HEAVY).worth for seed in SEEDS)
+        return statistics.fmean(play(experiment, seed, FIRST_START_TUNING).worth for seed in SEEDS)
 
     def test_most_work_for_the_small_model_with_engines_and_a_domain_lost(self) -> None:
         self.assertGreater(self.worth("small-model-heavy"), 0.86)
@@ -46,13 +46,15 @@
 class DayTests(testtools.TestCase):
     def test_a_seed_gives_the_same_day_again(self) -> None:
         experiment = read_experiment("two-models-even")
-        self.assertEqual(play(experiment, 5, HEAVY), play(experiment, 5, HEAVY))
+        self.assertEqual(
+            play(experiment, 5, FIRST_START_TUNING), play(experiment, 5, FIRST_START_TUNING)
+        )
 
     def test_a_burst_begins_at_another_moment_of_each_day(self) -> None:
         experiment = read_experiment("wide-turns-large")
         begun_s = []
         for seed in SEEDS:
-            moments = {burst.at_s for burst in Day(experiment, seed, HEAVY).bursts}
+            moments = {burst.at_s for burst in Day(experiment, seed, FIRST_START_TUNING).bursts}
             self.assertEqual(1, len(moments), "bursts of one time come together")
             begun_s += moments
         self.assertEqual(len(SEEDS), len(set(begun_s)))
@@ -60,7 +62,7 @@
             self.assertTrue(burst.at_s <= at_s <= burst.at_s + burst.spread_s)
 
     def test_requests_of_a_closed_group_end_there(self) -> None:
-        day = Day(read_experiment("dense-engines"), 1, HEAVY)
+        day = Day(read_experiment("dense-engines"), 1, FIRST_START_TUNING)
         day.play_until(2.0)
         coordinator = day.world.coordinator
         group = next(
@@ -74,18 +76,20 @@
         while group.cause is PhaseCause.TRADED:
             day.play_until(day.played_s + STEP_S)
         self.assertIs(PhaseCause.ENDED, group.cause)
-        self.assertTrue(all(each.first_s is not None and not each.broke for each in under_way))
+        self.assertTrue(
+            all(each.first_part_s is not None and not each.interrupted for each in under_way)
+        )
 
     def test_instant_weights_leave_little_to_lose(self) -> None:
         experiment = read_experiment("small-model-heavy")
-        instant = play(experiment.with_instant_weights(), 1, HEAVY)
-        self.assertGreater(instant.worth, play(experiment, 1, HEAVY).worth)
+        instant = play(experiment.with_instant_weights(), 1, FIRST_START_TUNING)
+        self.assertGreater(instant.worth, play(experiment, 1, FIRST_START_TUNING).worth)
 
 
 class ReaderTests(testtools.TestCase):
     def fault(self, old: str, new: str) -> ExperimentError:
         """Return the error for an experiment in which some text is replaced."""
-        content = (EXPERIMENTS / "burst-while-shrinking.toml").read_text()
+        content = (EXPERIMENTS_DIR / "burst-while-shrinking.toml").read_text()
         assert old in content
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "changed.toml"
@@ -117,8 +121,8 @@
 
 class WayTests(testtools.TestCase):
     def test_a_way_changes_the_settings_that_it_names(self) -> None:
-        found = tuning_of("trading=false,keep_bonus=1.5")
-        self.assertEqual((False, 1.5), (found.trading, found.keep_bonus))
+        tuning = tuning_of("trading=false,keep_bonus=1.5")
+        self.assertEqual((False, 1.5), (tuning.trading, tuning.keep_bonus))
 
     def test_a_wrong_way_is_an_error_that_names_the_setting(self) -> None:
         for way in ("no_such=1", "trading=maybe", "keep_bonus=much"):
