--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/__init__.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A laboratory for forming groups: days of work and losses under virtual time, read from files."""
+"""Simulate group formation in virtual time on load and failure scenarios read from files."""
--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/__main__.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/__main__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Play an experiment over seeds, each way of deciding on the same days.
+"""Simulate experiments over a range of seeds and compare coordinator settings on the same days.
 
 ``python -m ochreway_standins.grouplab small-model-heavy --way crowding=0.8 --way trading=false``
 """
@@ -21,15 +21,15 @@
 
 CURRENT_WAY = "as it stands"
 Z_95_PERCENT = 1.96
-"""How many standard errors an interval of 95 % reaches to each side."""
+"""Half-width of a 95 % confidence interval, in standard errors."""
 COLUMNS = tuple(each.name for each in fields(DayResult))
 
 
 def tuning_of(way: str) -> CoordinatorTuning:
-    """Return the tuning of a way: comma-separated settings that differ from the standing ones.
+    """Return the tuning of a way: comma-separated ``name=value`` overrides of the defaults.
 
     Raises:
-        ExperimentError: when a setting is not known, or its value of a wrong type.
+        ExperimentError: if a setting is unknown or its value has the wrong type.
     """
     tuning = CoordinatorTuning()
     if way == CURRENT_WAY:
@@ -38,7 +38,7 @@
     for setting in way.split(","):
         name, _, text = setting.partition("=")
         if name not in kinds:
-            raise ExperimentError(name, "is no setting of the coordinator")
+            raise ExperimentError(name, "is not a coordinator setting")
         change: dict[str, Any] = {name: _parse_setting(name, kinds[name], text)}
         tuning = replace(tuning, **change)
     return tuning
@@ -47,12 +47,12 @@
 def _parse_setting(name: str, kind: type, text: str) -> object:
     if kind is bool:
         if text not in ("true", "false"):
-            raise ExperimentError(name, "has to be true or false")
+            raise ExperimentError(name, "must be true or false")
         return text == "true"
     try:
         return kind(text)
     except ValueError as error:
-        raise ExperimentError(name, f"{text!r} is no {kind.__name__}") from error
+        raise ExperimentError(name, f"{text!r} is not a valid {kind.__name__}") from error
 
 
 def _play_days(
@@ -71,7 +71,7 @@
 
 
 def _format_difference(results: list[DayResult], baseline: list[DayResult], column: str) -> str:
-    """Return the mean difference on the same days, and its interval of 95 %."""
+    """Format the mean paired difference to the baseline with its 95 % confidence interval."""
     pairs = zip(results, baseline, strict=True)
     deltas = [getattr(new, column) - getattr(old, column) for new, old in pairs]
     standard_error = (
@@ -82,12 +82,12 @@
 
 @click.command()
 @click.argument("names", nargs=-1)
-@click.option("--way", "ways", multiple=True, help="Settings to compare with the standing ones.")
+@click.option("--way", "ways", multiple=True, help="Settings to compare with the current ones.")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--runs", default=24, show_default=True)
 @click.option("--jobs", default=4, show_default=True)
 def main(names: tuple[str, ...], ways: tuple[str, ...], seed: int, runs: int, jobs: int) -> None:
-    """Print means of experiments (all, if none is named) and paired differences of ways."""
+    """Print the means of experiments (default: all) and the paired differences of each way."""
     seeds = range(seed, seed + runs)
     try:
         experiments = [read_experiment(name) for name in names or experiment_names()]
--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/day.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/day.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One day of an experiment: requests meet the groups that the coordinator forms."""
+"""Simulate one day of an experiment against the groups that the coordinator forms."""
 
 import math
 import random
@@ -20,26 +20,32 @@
 from ochreway_standins.grouplab.request import Outcome, Request
 
 LOSS_DETECTION_S = 0.45
-"""How long callers of a lost group wait: silence of 0.3 s and a probe, as on played days."""
+"""Delay until callers of a lost group retry: 0.3 s of silence and a probe, as on played days."""
 MAX_QUEUED = 3
-"""How many requests may wait beside a group's slots (the relay's bound)."""
+"""Maximum number of requests that wait at a group beyond its slots, as in the relay."""
 MAX_WAIT_FRACTION = 0.1
-"""For which share of its objective a request waits for a place (the relay's bound)."""
+"""Fraction of its objective for which a request may wait for a group, as in the relay."""
 RETRY_DELAY_S = 0.8
-"""After how long a refused caller comes back, once."""
+"""Delay of the single retry of a refused request."""
 FIRST_PART_TOKENS = 5.0
+"""Tokens that are generated before the first part of an answer reaches the caller."""
 LISTING_DELAY_S = 0.8
+"""Delay until the instance list shows an added engine."""
 RELISTING_DELAY_RANGE_S = (0.2, 1.0)
+"""Bounds of the delay until the list shows an engine of a restored domain."""
 WINDOW_S = 2.0
+"""Length of the windows of arrival times over which ``DayResult.worst`` is computed."""
 WORST_WINDOWS = 2
+"""Number of windows of lowest worth that ``DayResult.worst`` averages."""
 MIN_ANSWER_TOKENS = 5.0
+"""Lower bound of the drawn answer lengths."""
 
 
 @dataclass(frozen=True, slots=True)
 class DayResult:
-    """Hold what a day was worth, as shares of all that was offered, and what it took.
+    """Worth of a day and the outcomes of its requests as shares of those offered, and its costs.
 
-    ``stranded`` is the share of live engines' time in no group that serves.
+    ``stranded`` is the share of live engines' time spent outside serving groups.
     """
 
     worth: float
@@ -59,7 +65,7 @@
 
 
 class Day:
-    """Play one day; the coordinator's decisions are the product's own."""
+    """Simulate one day; the decisions are made by the coordinator of ``ochreway_direct``."""
 
     def __init__(self, experiment: Experiment, seed: int, tuning: CoordinatorTuning) -> None:
         self._experiment = experiment
@@ -91,18 +97,18 @@
         self._events: list[tuple[float, Callable[[], None]]] | None = None
 
     def play(self) -> DayResult:
-        """Return what was served."""
+        """Simulate the whole day and return its result."""
         self.play_until(self._experiment.day_s)
         self._count_unfinished()
         return self._result()
 
     @property
     def played_s(self) -> float:
-        """Return for how long requests have come."""
+        """Return the time since the first requests could arrive."""
         return self.world.now_s - self._begin_s
 
     def play_until(self, until_s: float) -> None:
-        """Go on until requests have come for some time."""
+        """Advance until ``played_s`` reaches ``until_s``."""
         if self._events is None:
             self.world.run(self._experiment.lead_s)
             self.world.load_speed = 1.0
@@ -114,11 +120,11 @@
             self._tick()
 
     def _draw_bursts(self, bursts: Iterable[Burst]) -> tuple[Burst, ...]:
-        """Return bursts at the moments of this day; those of one time come together."""
+        """Return the bursts of this day; a common random shift keeps equal times together."""
         shift_s = self._burst_rng.uniform(0.0, 1.0)
         return tuple(replace(each, at_s=each.at_s + shift_s * each.spread_s) for each in bursts)
 
-    # What goes wrong.
+    # Failures and other events
 
     def _schedule_events(self) -> list[tuple[float, Callable[[], None]]]:
         losses, day_s = self._experiment.losses, self._experiment.day_s
@@ -186,7 +192,7 @@
     def _lose_holder(self) -> None:
         self._holder_absent_s = self._experiment.losses.holder_for_s
 
-    # A step.
+    # Simulation step
 
     def _tick(self) -> None:
         if self._holder_absent_s <= 0.0:
@@ -206,7 +212,7 @@
         self._record_engine_use()
 
     def _take_over(self) -> None:
-        """Let another process go on, which has followed what is offered all the time."""
+        """Let another process take over, which has followed the offered load all along."""
         followed = self.world.coordinator.demand
         self.world.take_over()
         demand = self.world.coordinator.demand
@@ -246,7 +252,7 @@
         return Request(figures, now_s, prompt, answer, FIRST_PART_TOKENS, due_s)
 
     def _update_servers(self) -> None:
-        """Open servers for whole groups; requests of those that are broken go elsewhere."""
+        """Create servers for complete groups, and retry the requests of groups that were lost."""
         open_servers: dict[GroupId, GroupServer] = {}
         views_by_group = {view.group: view for view in self.world.coordinator.views()}
         for engine in self.world.engines.values():
@@ -266,7 +272,7 @@
         self._finish_closing_groups()
 
     def _finish_closing_groups(self) -> None:
-        """Let groups that take nothing more go on until their requests have ended."""
+        """Keep closing groups running until their requests have ended."""
         for engine in self.world.engines.values():
             membership = engine.membership
             server = self.servers.get(membership.group) if membership is not None else None
@@ -284,7 +290,7 @@
             self._retries.append(_Retry(request, retry_at_s))
 
     def _leads_complete_group(self, engine: FakeEngine) -> bool:
-        """Tell whether an engine leads a group that is whole and works on requests."""
+        """Whether an engine leads a complete group that is open or closing."""
         membership = engine.membership
         if not engine.alive or membership is None or membership.rank != 0:
             return False
@@ -345,10 +351,10 @@
             if group.cause.value == "traded"
         }
 
-    # What came of it.
+    # Results
 
     def _count_unfinished(self) -> None:
-        """Count what is under way by what has become of it so far."""
+        """Count running requests that have begun their answers."""
         for server in self.servers.values():
             self._outcomes += [
                 (each, _outcome(each)) for each in server.running if each.first_part_s
@@ -394,7 +400,7 @@
 
 
 def _poisson(rng: random.Random, expected: float) -> int:
-    """Draw how many requests arrive in a step."""
+    """Draw the number of events from a Poisson distribution with mean ``expected``."""
     limit, product, number = math.exp(-expected), rng.random(), 0
     while product > limit:
         product *= rng.random()
@@ -403,13 +409,13 @@
 
 
 def _lognormal(rng: random.Random, spread: float) -> float:
-    """Draw a factor with mean 1."""
+    """Draw a log-normal factor with mean 1 and coefficient of variation ``spread``."""
     sigma = math.sqrt(math.log(1.0 + spread * spread))
     return rng.lognormvariate(-sigma * sigma / 2, sigma)
 
 
 def play(experiment: Experiment, seed: int, tuning: CoordinatorTuning) -> DayResult:
-    """Play the day of a seed."""
+    """Simulate the day that ``seed`` determines."""
     return Day(experiment, seed, tuning).play()
 
 
--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/errors.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/errors.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What can be wrong with an experiment file."""
+"""Errors of experiment files."""
 
 
 class ExperimentError(ValueError):
-    """Tell which field of an experiment file is wrong, and why."""
+    """A field of an experiment file is invalid."""
 
     def __init__(self, field: str, problem: str) -> None:
         super().__init__(f"{field}: {problem}")
--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/experiment.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/experiment.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The description of a day: engines, models, requests and what goes wrong."""
+"""Description of a simulated day: engines, models, requests and failures."""
 
 from dataclasses import dataclass, replace
 
@@ -7,12 +7,12 @@
 from ochreway_direct.ids import ModelName
 
 INSTANT_LOAD_S = 0.05
-"""How long a load takes that is to cost nothing: a step of the laboratory."""
+"""Duration of a load that costs nothing: one simulation step."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetFigures:
-    """Hold how many engines there are, and how fast one of them works."""
+    """Number of engines, and the speed of one engine."""
 
     domains: int
     engines_per_domain: int
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadFigures:
-    """Hold how fast weights are read; before the first request they are ``early_speed`` faster."""
+    """Rate of weight loads, which is ``early_speed`` times higher before the first request."""
 
     per_s: float
     at_once: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelFigures:
-    """Hold a model's group size and pace, and the share of work that the configuration gives it."""
+    """Group size and pace of a model, and its share of the work in the configuration."""
 
     name: str
     size: int
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFigures:
-    """Hold one kind of request: how often it comes, how long it is, what it is worth."""
+    """Arrival rate, length and worth of one kind of request."""
 
     name: str
     model: str
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wave:
-    """Hold how the load rises and falls around its mean."""
+    """Sinusoidal variation of the load around its mean."""
 
     swing: float
     period_s: float
@@ -71,9 +71,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """Hold a time in which one kind of request comes more or less often.
+    """Period in which the arrival rate of one kind of request is multiplied by ``factor``.
 
-    It begins up to ``spread_s`` after ``at_s``, on each day at another moment.
+    It begins up to ``spread_s`` after ``at_s``, at a different time on each day.
     """
 
     request: str
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Losses:
-    """Hold what is lost and added; a period of 0 means never."""
+    """Schedule of lost and added engines; an interval or duration of 0 disables the event."""
 
     engine_every_s: float
     added_every_s: float
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """Hold a whole day; ``pattern`` says in words what is peculiar to it."""
+    """Description of one day; ``pattern`` describes its load in words."""
 
     name: str
     pattern: str
@@ -115,11 +115,11 @@
     bursts: tuple[Burst, ...] = ()
 
     def with_instant_weights(self) -> "Experiment":
-        """Return the same day as if every engine had all weights at once.
+        """Return the same day with weight loads that take almost no time.
 
-        What is lost then is lost by engines that are gone and callers that are moved; what is lost
-        beside it is the price of weights that have to be read. It is no strict bound, as the same
-        decisions are taken.
+        The worth that is lost on this day is due to lost engines and moved callers; any further
+        loss on the original day is the cost of loading weights. This is not a strict bound,
+        because the coordinator's decision rules are the same on both days.
         """
         models = tuple(
             replace(m, load_s=INSTANT_LOAD_S, warm_s=INSTANT_LOAD_S) for m in self.models
@@ -128,7 +128,7 @@
         return replace(self, models=models, loads=loads)
 
     def spec(self) -> EngineSpec:
-        """Return the figures as a configuration gives them to a coordinator."""
+        """Return the engine specification that a coordinator reads from its configuration."""
         fleet = self.fleet
         mean_prompt = sum(r.prompt_tokens for r in self.requests) / len(self.requests)
         mean_answer = sum(r.answer_tokens for r in self.requests) / len(self.requests)
--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/groupserver.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/groupserver.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A group that answers requests, one prompt after the other and all answers together."""
+"""Simulated group that reads prompts one after the other and generates answers concurrently."""
 
 from ochreway_direct.configuration import EngineSpec
 from ochreway_standins.grouplab.request import Request
 
 
 class GroupServer:
-    """Hold the requests of one group; more than its slots wait."""
+    """Requests of one group; those beyond its slots wait."""
 
     def __init__(self, spec: EngineSpec, pace: float) -> None:
         self._spec = spec
@@ -15,11 +15,11 @@
 
     @property
     def load(self) -> int:
-        """Return how many requests run or wait here."""
+        """Return the number of running and waiting requests."""
         return len(self.running)
 
     def tick(self, now_s: float, duration_s: float) -> list[Request]:
-        """Let time pass; return the requests whose answers have ended."""
+        """Advance by ``duration_s`` and return the requests whose answers are complete."""
         active = self.running[: self._spec.slots]
         readable_tokens = duration_s * self._spec.read_tokens_per_s / self.pace
         generating = [each for each in active if each.prompt_tokens_left <= 0]
--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/reader.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/reader.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Reading experiments from TOML, where each wrong field is named."""
+"""Read experiments from TOML files; errors name the invalid field."""
 
 import tomllib
 import types
@@ -12,15 +12,15 @@
 
 T = TypeVar("T")
 EXPERIMENTS_DIR = Path(__file__).parent / "experiments"
-"""Where the experiments that come with the laboratory lie."""
+"""Directory of the experiments that are shipped with this package."""
 ACCEPTED_NUMBER_TYPES = {int: (int,), float: (int, float)}
 
 
 def read_experiment(name: str) -> Experiment:
-    """Read an experiment by its name, or by the path of its file.
+    """Read an experiment, given its name or the path of its ``.toml`` file.
 
     Raises:
-        ExperimentError: when the file cannot be read, or a field is missing, unknown or wrong.
+        ExperimentError: if the file cannot be read, or a field is missing, unknown or invalid.
     """
     path = Path(name) if name.endswith(".toml") else EXPERIMENTS_DIR / f"{name}.toml"
     try:
@@ -28,26 +28,26 @@
     except OSError as error:
         raise ExperimentError(str(path), f"cannot be read: {error.strerror}") from error
     except tomllib.TOMLDecodeError as error:
-        raise ExperimentError(str(path), f"is no TOML: {error}") from error
+        raise ExperimentError(str(path), f"is not valid TOML: {error}") from error
     experiment = _parse_table(Experiment, content, "")
     _check_references(experiment)
     return experiment
 
 
 def experiment_names() -> list[str]:
-    """Return the names of the experiments that come with the laboratory."""
+    """Return the names of the experiments that are shipped with this package."""
     return sorted(path.stem for path in EXPERIMENTS_DIR.glob("*.toml"))
 
 
 def _parse_table(kind: type[T], content: Any, where: str) -> T:
-    """Read a table as a dataclass."""
+    """Convert a table to an instance of the dataclass ``kind``."""
     if not isinstance(content, dict):
-        raise ExperimentError(where, "has to be a table")
+        raise ExperimentError(where, "must be a table")
     hints = get_type_hints(kind)
     known = {each.name: each for each in fields(kind)}  # type: ignore[arg-type]
     for name in content:
         if name not in known:
-            raise ExperimentError(_field_path(where, name), "is not known")
+            raise ExperimentError(_field_path(where, name), "is unknown")
     values = {}
     for name, each in known.items():
         if name in content:
@@ -62,39 +62,39 @@
         return _parse_table(kind, content, where)  # type: ignore[arg-type]
     if get_origin(kind) is tuple or isinstance(kind, types.GenericAlias):
         if not isinstance(content, list):
-            raise ExperimentError(where, "has to be a list")
+            raise ExperimentError(where, "must be a list")
         element = get_args(kind)[0]
         return tuple(_parse_value(element, each, f"{where}[{n}]") for n, each in enumerate(content))
     if kind in ACCEPTED_NUMBER_TYPES:
         return _parse_number(kind, content, where)
     if not isinstance(content, str):
-        raise ExperimentError(where, "has to be text")
+        raise ExperimentError(where, "must be a string")
     return content
 
 
 def _parse_number(kind: type[int] | type[float], content: Any, where: str) -> float:
     if isinstance(content, bool) or not isinstance(content, ACCEPTED_NUMBER_TYPES[kind]):
-        raise ExperimentError(where, f"has to be a number ({kind.__name__})")
+        raise ExperimentError(where, f"must be a number ({kind.__name__})")
     if content < 0:
         raise ExperimentError(where, "must not be below 0")
     return kind(content)
 
 
 def _check_references(experiment: Experiment) -> None:
-    """Check what concerns several fields."""
+    """Check constraints between fields: names of models and requests, and group sizes."""
     models = {model.name for model in experiment.models}
     if not models:
         raise ExperimentError("models", "must not be empty")
     for n, request in enumerate(experiment.requests):
         if request.model not in models:
-            raise ExperimentError(f"requests[{n}].model", f"{request.model!r} is no model")
+            raise ExperimentError(f"requests[{n}].model", f"{request.model!r} is not a model")
     requests = {request.name for request in experiment.requests}
     for n, burst in enumerate(experiment.bursts):
         if burst.request not in requests:
-            raise ExperimentError(f"bursts[{n}].request", f"{burst.request!r} is no request")
+            raise ExperimentError(f"bursts[{n}].request", f"{burst.request!r} is not a request")
     for n, model in enumerate(experiment.models):
         if not 0 < model.size <= experiment.fleet.engines_per_domain:
-            raise ExperimentError(f"models[{n}].size", "has to fit into a domain")
+            raise ExperimentError(f"models[{n}].size", "must be positive and fit into a domain")
 
 
 def _field_path(where: str, name: str) -> str:
--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/request.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/request.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One request of a day."""
+"""A simulated request and its outcome."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class Outcome(Enum):
-    """Say what became of a request."""
+    """Outcome of a request."""
 
     IN_TIME = "in_time"
     LATE = "late"
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """Hold what a request still needs; ``interrupted`` tells that its group was lost under it."""
+    """Remaining work of a request; ``interrupted``: its group was lost during the answer."""
 
     figures: RequestFigures
     arrived_s: float
@@ -31,7 +31,7 @@
 
     @property
     def in_time(self) -> bool:
-        """Tell whether its answer began in time and went on without a break."""
+        """Whether the answer began within the objective, without refusal or interruption."""
         if self.first_part_s is None or self.interrupted or self.refused:
             return False
         return self.first_part_s - self.arrived_s <= self.figures.objective_ms / 1000
--- a/tests/standins/test_grouplab.py
+++ b/tests/standins/test_grouplab.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The laboratory, and the heavy days that decisions were chosen by.
+"""Group laboratory, and minimum worth on the days of heavy load that decide between settings.
 
-Worth is the share of what all requests were worth; an experiment's ``pattern`` names the load and
-where its figures are from. The floors are the means of 32 days of the way that was given up, plus
-half of what the way in force won over it; three seeds are played here.
+Worth is the share of the worth of all requests; an experiment's ``pattern`` describes its load and
+the source of its figures. Each minimum is the mean of 32 days with the abandoned setting, plus half
+of the gain of the setting in force; the tests simulate three seeds.
 """
 
 import pathlib
