--- a/packages/ochreway-standins/src/ochreway_standins/soak/operator.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/operator.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Operators under virtual time, who race to roll bundles."""
+"""Operators under virtual time who roll bundles concurrently."""
 
 import hashlib
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from ochreway_core.signoff import approve
 from ochreway_core.table import ABSENT, CommitReply, CommitStatus, Condition, ReadReply, Transaction
 from ochreway_core.view import key_keepers
-from ochreway_standins.soak.world import DOMAIN, KEY, SCOPE, WALL_S, World
+from ochreway_standins.soak.world import APPROVER_KEY, DOMAIN, SCOPE, START_WALL_S, World
 
 ORGANISATIONS = ("kestrel", "hanbit")
 
@@ -24,7 +24,7 @@
     warm_spares: bool = True,
     standbys: int = 0,
 ) -> bytes:
-    """Return the bundle of a run: two replicas of three, plain services, two organisations."""
+    """Return a bundle: two replicas of three instances, services and two organisations."""
     engine_names = ", ".join(f'"engine-{index}"' for index in range(engines))
     names = ", ".join(f'"service-{index}"' for index in range(services))
     organisations = "".join(
@@ -68,7 +68,7 @@
 
 
 class Operator:
-    """Roll bundles by compare-and-set, settling lost answers by reading back."""
+    """Roll bundles by compare-and-set; read the row back if the answer is lost."""
 
     def __init__(self, world: World, name: str) -> None:
         self._world = world
@@ -76,11 +76,11 @@
         self._changes = 0
 
     def roll(self, body: bytes, done: Callable[[Version | None], None]) -> None:
-        """Roll a bundle; ``done`` is told the version, or ``None`` when it did not land."""
+        """Roll a bundle; call ``done`` with the version, or ``None`` if it was not committed."""
         platform = self._world.platform
         digest = bundle_hash(body)
         platform.bodies[digest] = body
-        approval = approve(digest, self._name, "bo", KEY)
+        approval = approve(digest, self._name, "bo", APPROVER_KEY)
         key = approval_key(digest, "bo")
         if key not in platform.table.rows:
             change = ChangeId(f"approve.{digest}")
@@ -98,7 +98,7 @@
         assert read.rows is not None
         current = read.rows.get(head_key(SCOPE))
         former = decode(RollRow, current.content) if current else None
-        roll = self._next(body, former)
+        roll = self._next_roll(body, former)
         head, record = head_key(SCOPE), roll_key(SCOPE, roll.version)
         content = encode(roll)
         revision = current.revision if current else ABSENT
@@ -136,9 +136,9 @@
 
         self._world.platform.read((record,), read)
 
-    def _next(self, body: bytes, former: RollRow | None) -> RollRow:
+    def _next_roll(self, body: bytes, former: RollRow | None) -> RollRow:
         self._changes += 1
-        now_wall_s = WALL_S + self._world.clock.now_s
+        now_wall_s = START_WALL_S + self._world.clock.now_s
         return RollRow(
             scope=SCOPE,
             version=Version(former.version + 1 if former else 1),
--- a/packages/ochreway-standins/src/ochreway_standins/soak/truth.py
+++ b/packages/ochreway-standins/src/ochreway_standins/soak/truth.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The invariants, checked against what really happened in the world."""
+"""Checks of the invariants against what happened in the simulated world."""
 
 from dataclasses import dataclass, field
 
@@ -21,29 +21,29 @@
 from ochreway_standins.soak.simtarget import expected_answer
 from ochreway_standins.soak.world import World, hall_of
 
-AGENT_LEAVE_S = 2.0
-TICKS_S = 0.5
-LIST_LAG_MOST_S = 6.0
-LIST_LEAVE_S = LIST_LAG_MOST_S + 4.0
+AGENT_LEAVE_GRACE_S = 2.0
+CHECK_SLACK_S = 0.5
+MAX_LIST_LAG_S = 6.0
+LIST_LEAVE_GRACE_S = MAX_LIST_LAG_S + 4.0
 
 
 @dataclass(frozen=True, slots=True)
-class ToldLeaving:
-    """Hold which life of a target said that it leaves, and from when on it gets nothing new."""
+class LeavingNotice:
+    """The incarnation of a target that announced its leaving, and when new work must stop."""
 
-    life: int
+    incarnation: int
     from_s: float
 
 
 @dataclass(slots=True)
 class Truth:
-    """Collect violations of one run."""
+    """Collect the violations of one run."""
 
     world: World
     callers: Callers
     violations: list[str] = field(default_factory=list)
     quiet_from_s: dict[NodeId, float] = field(default_factory=dict)
-    told_leaving: dict[NodeId, ToldLeaving] = field(default_factory=dict)
+    leaving_notices: dict[NodeId, LeavingNotice] = field(default_factory=dict)
     halls: HallTruth = field(init=False)
     crashes: CrashTruth = field(init=False)
     backoffs: BackoffTruth = field(default_factory=BackoffTruth)
@@ -54,46 +54,46 @@
         self.halls = HallTruth(self.world)
         self.crashes = CrashTruth(self.world)
 
-    def watch(self) -> None:
-        """Look on from now on."""
+    def attach(self) -> None:
+        """Install the hooks in the world and receive reports of invariants from the nodes."""
         self.world.on_hand_over = self._on_hand_over
-        self.world.on_applied = self._on_applied
-        self.world.on_arrival = self._on_arrival
+        self.world.on_version_applied = self._on_applied
+        self.world.on_target_contact = self._on_arrival
         self.world.on_notice = self._on_notice
-        invariants.set_reporter(self._reported)
+        invariants.set_reporter(self._on_invariant_report)
 
-    def _reported(self, invariant: Invariant, detail: str) -> None:
-        self.violate(invariant, f"asserted inside: {detail}")
+    def _on_invariant_report(self, invariant: Invariant, detail: str) -> None:
+        self.violate(invariant, f"reported by a node: {detail}")
 
     def violate(self, invariant: Invariant, detail: str) -> None:
-        """Note a violation."""
+        """Record a violation."""
         self.violations.append(f"{self.world.clock.now_s:.3f} {invariant.value}: {detail}")
 
     def _on_arrival(self, process: Process) -> None:
-        for detail in self.backoffs.arrived(process, self.world.clock.now_s):
+        for detail in self.backoffs.check_arrival(process, self.world.clock.now_s):
             self.violate(Invariant.BACKOFF_QUIET, detail)
         limit_per_s = self.world.targets[process.peer.node].limit_per_s
-        for detail in self.limits.arrived(process, limit_per_s, self.world.clock.now_s):
+        for detail in self.limits.check_arrival(process, limit_per_s, self.world.clock.now_s):
             self.violate(Invariant.LIMIT_KEPT, detail)
 
     def _on_notice(self, process: Process, notice: TargetNotice) -> None:
         now_s = self.world.clock.now_s
         if notice.backoff_s is not None:
-            self.backoffs.turned_away(process, notice.backoff_s, now_s)
+            self.backoffs.on_backoff_requested(process, notice.backoff_s, now_s)
         if notice.leaving:
-            self._told_leaving(process.peer.node, now_s)
+            self._record_leaving_notice(process.peer.node, now_s)
 
-    def _told_leaving(self, node: NodeId, now_s: float) -> None:
-        """Note that a target said of itself that it leaves; another life of it does not."""
-        life = self.world.targets[node].life
-        known = self.told_leaving.get(node)
-        if known is None or known.life != life:
-            self.told_leaving[node] = ToldLeaving(life, now_s + AGENT_LEAVE_S)
+    def _record_leaving_notice(self, node: NodeId, now_s: float) -> None:
+        """Record that a target announced its leaving; it holds for this incarnation only."""
+        incarnation = self.world.targets[node].incarnation
+        previous = self.leaving_notices.get(node)
+        if previous is None or previous.incarnation != incarnation:
+            self.leaving_notices[node] = LeavingNotice(incarnation, now_s + AGENT_LEAVE_GRACE_S)
 
     def _on_hand_over(self, process: Process, order: HandOver) -> None:
         node = process.node
         assert isinstance(node, AgentNode)
-        for detail in self.crashes.handed_over(process.peer.node, order.submit):
+        for detail in self.crashes.check_hand_over(process.peer.node, order.submit):
             self.violate(Invariant.FATAL_QUIET, detail)
         row = node.membership.row
         if row is None:
@@ -115,47 +115,53 @@
             return
         agent = member.node
         assert isinstance(agent, AgentNode)
-        held = agent.membership.grant.epoch
+        granted_epoch = agent.membership.grant.epoch
         restarted = now_s - member.born_s < ttl_s
-        if restarted and held in (NO_EPOCH, row.epoch):
-            # It has forgotten what it granted, and grants nothing to anyone else yet.
+        if restarted and granted_epoch in (NO_EPOCH, row.epoch):
+            # After a restart it no longer knows its grants, and does not grant to others yet.
             return
         if not agent.membership.grant.is_fresh(row.epoch, member.local_s(now_s)):
-            detail = f"{row.group}@{row.epoch}: {node} grants epoch {held}"
-            other = held != row.epoch
+            detail = f"{row.group}@{row.epoch}: {node} grants epoch {granted_epoch}"
+            other = granted_epoch != row.epoch
             self.violate(Invariant.ONE_GROUP if other else Invariant.GROUP_COMPLETE, detail)
 
     def _check_quiet(self, leader: Process, row: GroupRow, node: NodeId) -> None:
         quiet_s = self._quiet_from_s(node)
         if quiet_s is None:
             return
-        if not self._can_tell(node, leader.peer.node):
-            # Then only the lapse of its grant tells the leader.
-            quiet_s += self.world.shape.timing.grant_ttl_s - AGENT_LEAVE_S + TICKS_S
+        if not self._can_notify_leader(node, leader.peer.node):
+            # The leader then learns of it only when the grant lapses.
+            quiet_s += self.world.shape.timing.grant_ttl_s - AGENT_LEAVE_GRACE_S + CHECK_SLACK_S
         if self.world.clock.now_s > quiet_s:
             self.violate(Invariant.LEAVING_QUIET, f"{row.group}: {node} is leaving")
 
     def _quiet_from_s(self, node: NodeId) -> float | None:
-        """Return from when on an instance gets nothing new, if it leaves or its target does."""
-        told = self.told_leaving.get(node)
-        holds = told is not None and told.life == self.world.targets[node].life
-        times_s = [self.quiet_from_s.get(node), told.from_s if told and holds else None]
+        """Return when an instance must stop getting new work, if it or its target is leaving."""
+        leaving_notice = self.leaving_notices.get(node)
+        is_current = (
+            leaving_notice is not None
+            and leaving_notice.incarnation == self.world.targets[node].incarnation
+        )
+        times_s = [
+            self.quiet_from_s.get(node),
+            leaving_notice.from_s if leaving_notice and is_current else None,
+        ]
         return min((each for each in times_s if each is not None), default=None)
 
     def _check_drained(self, order: HandOver, row: GroupRow, node: NodeId) -> None:
-        """Check that no entry has sent a request where it has long known not to."""
-        asked = self.callers.asked.get(order.submit.request)
-        if asked is None:
+        """Check that no entry sends requests to a hall that it has long known to be drained."""
+        sent = self.callers.sent_requests.get(order.submit.request)
+        if sent is None:
             return
-        # A word that has just come may have given the hall back.
-        self.halls.look()
+        # An update that has just arrived may have restored the hall.
+        self.halls.observe()
         entry = order.submit.attempt.entry
-        known_s = self.halls.known_for_s(entry, hall_of(node), asked.asked_s)
-        if known_s > self.world.shape.timing.hall_drain_s + TICKS_S:
-            detail = f"{row.group}: {node} stands in a hall drained for {known_s:.1f} s at {entry}"
+        known_s = self.halls.known_for_s(entry, hall_of(node), sent.sent_s)
+        if known_s > self.world.shape.timing.hall_drain_s + CHECK_SLACK_S:
+            detail = f"{row.group}: {node} is in a hall drained for {known_s:.1f} s at {entry}"
             self.violate(Invariant.DRAINED_QUIET, detail)
 
-    def _can_tell(self, node: NodeId, leader: NodeId) -> bool:
+    def _can_notify_leader(self, node: NodeId, leader: NodeId) -> bool:
         network = self.world.network
         cut = network.is_cut(node, leader) or network.is_cut(leader, node)
         return self.world.processes[node].running and not cut
@@ -164,13 +170,15 @@
         key = (process.peer.node, process.born_s)
         version = process.node.version
         if version < self._versions.get(key, 0):
-            self.violate(Invariant.VERSION_FORWARD, f"{process.peer.node} fell to {version}")
+            self.violate(
+                Invariant.VERSION_FORWARD, f"{process.peer.node} reverted to version {version}"
+            )
         self._versions[key] = version
 
     def check_table(self) -> None:
-        """Check that the table puts each instance into one group at most."""
-        self.halls.look()
-        self.crashes.look()
+        """Check that the table assigns each instance to at most one group."""
+        self.halls.observe()
+        self.crashes.observe()
         groups: dict[str, str] = {}
         rows = self.world.platform.table.rows
         for key, row in rows.items():
@@ -189,37 +197,41 @@
                     self.violate(Invariant.ONE_GROUP, f"{instance.node}: rows disagree")
 
     def check_answers(self) -> None:
-        """Check every request's outcome against what the targets ran."""
-        runs: dict[str, int] = {}
+        """Check the outcome of every request against what the targets ran."""
+        run_counts: dict[str, int] = {}
         for execution in self.world.executions:
-            runs[execution.request] = runs.get(execution.request, 0) + 1
-        by_key: dict[str, int] = {}
-        for asked in self.callers.asked.values():
-            request = asked.request
-            ran = runs.get(request.request, 0)
-            if asked.finishes > 1:
+            run_counts[execution.request] = run_counts.get(execution.request, 0) + 1
+        run_counts_by_key: dict[str, int] = {}
+        for sent in self.callers.sent_requests.values():
+            request = sent.request
+            run_count = run_counts.get(request.request, 0)
+            if sent.finishes > 1:
                 self.violate(Invariant.WHOLE_ANSWER, f"{request.request} ended twice")
-            if asked.finish is not None:
+            if sent.finish is not None:
                 self._check_outcome(
-                    asked.finish.outcome, asked.answer, request.request, ran, request.max_tokens
+                    sent.finish.outcome,
+                    sent.answer,
+                    request.request,
+                    run_count,
+                    request.max_tokens,
                 )
             if not request.repeatable:
                 name = str(request.key or request.request)
-                by_key[name] = by_key.get(name, 0) + ran
-        for name, ran in by_key.items():
-            if ran > 1:
-                self.violate(Invariant.AT_MOST_ONCE, f"{name} ran {ran} times")
+                run_counts_by_key[name] = run_counts_by_key.get(name, 0) + run_count
+        for name, run_count in run_counts_by_key.items():
+            if run_count > 1:
+                self.violate(Invariant.AT_MOST_ONCE, f"{name} ran {run_count} times")
 
     def _check_outcome(
-        self, outcome: Outcome, answer: bytearray, request: str, ran: int, pieces: int
+        self, outcome: Outcome, answer: bytearray, request: str, run_count: int, pieces: int
     ) -> None:
         expected = expected_answer(request, pieces)
         if outcome is Outcome.ANSWERED and bytes(answer) != expected:
             self.violate(Invariant.WHOLE_ANSWER, f"{request} was given {bytes(answer)[:60]!r}")
         if not expected.startswith(bytes(answer)):
             self.violate(Invariant.WHOLE_ANSWER, f"{request} was given a stray piece")
-        if outcome is Outcome.NOT_RUN and ran:
-            self.violate(Invariant.NOT_RUN_TRUE, f"{request} ran {ran} times")
+        if outcome is Outcome.NOT_RUN and run_count:
+            self.violate(Invariant.NOT_RUN_TRUE, f"{request} ran {run_count} times")
 
 
-__all__ = ["AGENT_LEAVE_S", "LIST_LEAVE_S", "Truth"]
+__all__ = ["AGENT_LEAVE_GRACE_S", "LIST_LEAVE_GRACE_S", "Truth"]
