--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/day.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/day.py
@@ -290,7 +290,7 @@
             self._retries.append(_Retry(request, retry_at_s))
 
     def _leads_complete_group(self, engine: FakeEngine) -> bool:
-        """Whether an engine leads a complete group that is open or closing."""
+        """Return whether an engine leads a complete group that is open or closing."""
         membership = engine.membership
         if not engine.alive or membership is None or membership.rank != 0:
             return False
--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/request.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/request.py
@@ -31,7 +31,7 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether the answer began within the objective, without refusal or interruption."""
+        """Return whether the answer began within the objective, without refusal or interruption."""
         if self.first_part_s is None or self.interrupted or self.refused:
             return False
         return self.first_part_s - self.arrived_s <= self.figures.objective_ms / 1000
