--- a/packages/ochreway-standins/src/ochreway_standins/grouplab/request.py
+++ b/packages/ochreway-standins/src/ochreway_standins/grouplab/request.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One request of a day."""
+"""A simulated request and its outcome."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class Outcome(Enum):
-    """Say what became of a request."""
+    """Outcome of a request."""
 
     IN_TIME = "in_time"
     LATE = "late"
@@ -17,24 +17,24 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """Hold what a request still needs; ``broke`` tells that its group was lost under it."""
+    """Remaining work of a request; ``interrupted``: its group was lost during the answer."""
 
     figures: RequestFigures
     arrived_s: float
-    prompt_left: float
-    answer_left: float
-    first_part_tokens: float
+    prompt_tokens_left: float
+    answer_tokens_left: float
+    first_part_tokens_left: float
     due_s: float
-    first_s: float | None = None
-    broke: bool = False
+    first_part_s: float | None = None
+    interrupted: bool = False
     refused: bool = False
 
     @property
     def in_time(self) -> bool:
-        """Tell whether its answer began in time and went on without a break."""
-        if self.first_s is None or self.broke or self.refused:
+        """Return whether the answer began within the objective, without refusal or interruption."""
+        if self.first_part_s is None or self.interrupted or self.refused:
             return False
-        return self.first_s - self.arrived_s <= self.figures.objective_ms / 1000
+        return self.first_part_s - self.arrived_s <= self.figures.objective_ms / 1000
 
 
 __all__ = ["Outcome", "Request"]
